--- a/include/yuccaplank/dispatch/entry_vm.hpp
+++ b/include/yuccaplank/dispatch/entry_vm.hpp
@@ -51,13 +51,13 @@
   virtual server_orders &orders() = 0;
   virtual void answer(std::uint64_t Job, const job_answer &Answer) = 0;
   /// The term of this VM's fencing tokens has risen; it should outlast the process.
-  virtual void termRaised(std::uint32_t Term) = 0;
+  virtual void onTermRaised(std::uint32_t Term) = 0;
   /// Whether this VM needs to know the backend servers; it does not while it relays.
-  virtual void serversNeeded(bool Needed) = 0;
+  virtual void onServersNeeded(bool Needed) = 0;
   /// A VM that dispatches by its entry in the store has been out of contact for long.
-  virtual void registrationStale(const std::string &Vm) = 0;
+  virtual void onStaleRegistration(const std::string &Vm) = 0;
   /// Another VM has a newer configuration; decoding it is up to the receiver.
-  virtual void configurationOffered(const schema::configuration_copy &Copy) = 0;
+  virtual void onConfigurationOffered(const schema::configuration_copy &Copy) = 0;
 };
 
 /// Numbers for metrics.
@@ -88,7 +88,7 @@
   /// registered before, so that the others' entries are those of a whole fleet.
   virtual void setRegistration(std::uint64_t Version, bool Returning) = 0;
   /// A term that was used before, by this VM or another.
-  virtual void noteTerm(std::uint32_t Term) = 0;
+  virtual void observeTerm(std::uint32_t Term) = 0;
   /// Older versions than the one in force are ignored; tells whether it is in force now.
   virtual bool setConfiguration(configuration Configuration, std::string Document) = 0;
   virtual void setServers(const std::vector<server_entry> &Servers) = 0;
@@ -107,7 +107,7 @@
   /// draining.
   [[nodiscard]] virtual bool ready() const = 0;
   /// Jobs of this VM's callers.
-  virtual job_desk &jobs() = 0;
+  virtual job_service &jobs() = 0;
   /// Cancels a job wherever it is; OnDone tells whether it was found.
   virtual void cancel(std::uint64_t Job, std::function<void(bool Found)> OnDone) = 0;
   /// Jobs of a queue that wait on any VM in contact.
--- a/include/yuccaplank/dispatch/fleet_view.hpp
+++ b/include/yuccaplank/dispatch/fleet_view.hpp
@@ -21,7 +21,7 @@
   runtime::duration ReconnectTime = std::chrono::milliseconds(250);
   /// After a start, servers are claimed and tasks placed only when each VM known then has been heard or found
   /// out of reach, or this time has passed, so that a VM that has just started does not believe itself alone.
-  runtime::duration IntroductionTime = std::chrono::milliseconds(700);
+  runtime::duration DiscoveryTimeout = std::chrono::milliseconds(700);
   /// Of the own clock in heartbeats; differs from process to process.
   std::uint32_t ClockOrigin = 1;
 };
@@ -29,11 +29,11 @@
 /// A VM that is known from the store, from settings or from another VM.
 struct known_vm {
   std::string Address;
-  bool Alive = false;
+  bool InContact = false;
   /// The connection has broken since the VM was last heard.
   bool Broken = false;
-  /// In contact, or found out of reach, since the introduction began.
-  bool Tried = false;
+  /// In contact, or found out of reach, since discovery began.
+  bool Discovered = false;
   runtime::time_point LastHeard{};
   /// Its clock in the last status that was heard over the present connection; 0 before.
   std::uint32_t ClockMs = 0;
@@ -79,13 +79,13 @@
 
   [[nodiscard]] virtual const std::map<std::string, known_vm> &others() const = 0;
   /// Whether the VM is in contact; the own one always is.
-  [[nodiscard]] virtual bool alive(const std::string &Vm) const = 0;
+  [[nodiscard]] virtual bool inContact(const std::string &Vm) const = 0;
   /// Echoes that belong to no recent heartbeat of this VM.
   [[nodiscard]] virtual std::uint64_t ignoredEchoes() const = 0;
   /// What was known is old, as after a start.
-  virtual void introduceAgain() = 0;
+  virtual void restartDiscovery() = 0;
   /// Whether enough is known to claim servers and to place tasks.
-  [[nodiscard]] virtual bool introduced() const = 0;
+  [[nodiscard]] virtual bool discoveryComplete() const = 0;
   /// The dispatching VM that was paused least often, of these the strongest, since it handles messages for
   /// each task of the fleet, of these the one that registered first; a draining one only when there is no
   /// other. Empty when there is none.
--- a/include/yuccaplank/dispatch/job_coordinator.hpp
+++ b/include/yuccaplank/dispatch/job_coordinator.hpp
@@ -1,7 +1,7 @@
 // The coordinator: jobs of this VM's callers and of VMs that relay to it, from submission to answer.
 #pragma once
 
-#include "yuccaplank/dispatch/job_desk.hpp"
+#include "yuccaplank/dispatch/job_service.hpp"
 #include "yuccaplank/dispatch/messages.hpp"
 #include "yuccaplank/runtime/executor.hpp"
 
@@ -17,13 +17,13 @@
   /// After losing contact with the owner of a run's server, the run counts as gone after this time unless
   /// another owner reports it: the lost owner stops it within its own silence limit, and without an owner its
   /// lease ends.
-  runtime::duration OrphanTime = std::chrono::milliseconds(1100);
+  runtime::duration OrphanTimeout = std::chrono::milliseconds(1100);
   /// A job is worth something to its caller up to this many times its objective.
   double LateFactor = 3;
   /// Pause before a task whose start was refused is placed again, so that a stale view of a server does not
   /// cause a burst of refusals.
   runtime::duration ReplaceDelay = std::chrono::milliseconds(5);
-  /// Without a placer in sight, new jobs are refused after this time, which is longer than the introduction
+  /// Without a placer in sight, new jobs are refused after this time, which is longer than the discovery
   /// of a fleet that has just started.
   runtime::duration PlacerWait = std::chrono::milliseconds(800);
 };
@@ -55,7 +55,7 @@
   virtual void answer(std::uint64_t Job, const job_answer &Answer) = 0;
 };
 
-class job_coordinator : public job_desk {
+class job_coordinator : public job_service {
 public:
   /// Jobs of which no task has been started, by queue.
   [[nodiscard]] virtual std::map<std::string, std::uint32_t> waiting() const = 0;
--- a/include/yuccaplank/dispatch/job_desk.hpp
+++ b/include/yuccaplank/dispatch/job_service.hpp
@@ -30,9 +30,9 @@
 
 enum class job_state : std::uint8_t { Queued, Running };
 
-class job_desk {
+class job_service {
 public:
-  virtual ~job_desk() = default;
+  virtual ~job_service() = default;
   /// False when a job with this id is in progress here; the caller then waits for the same answer.
   virtual bool submit(const queue_settings &Queue, job_request Request) = 0;
   /// The caller has left or cancelled; false when the job is not here.
--- a/include/yuccaplank/dispatch/placement_queue.hpp
+++ b/include/yuccaplank/dispatch/placement_queue.hpp
@@ -45,7 +45,7 @@
   virtual void decline(const std::string &Coordinator, const schema::decline_grant &Declined) = 0;
   virtual void updateServer(const std::string &Owner, const schema::server_state &State) = 0;
   /// The VM is gone: its tasks do not wait any more and its servers are unknown.
-  virtual void dropVm(const std::string &Vm) = 0;
+  virtual void removeVm(const std::string &Vm) = 0;
   /// Grants and rejects as far as possible; called after a batch of the calls above and periodically.
   virtual void schedule() = 0;
   [[nodiscard]] virtual std::size_t waitingJobs() const = 0;
--- a/include/yuccaplank/dispatch/relay_options.hpp
+++ b/include/yuccaplank/dispatch/relay_options.hpp
@@ -8,7 +8,7 @@
 struct relay_options {
   /// After losing contact with the dispatching VM, its runs of the job count as gone after this time
   /// (dispatch/bounds).
-  runtime::duration OrphanTime = std::chrono::milliseconds(1300);
+  runtime::duration OrphanTimeout = std::chrono::milliseconds(1300);
   /// Pause before a job that a dispatching VM has not taken is passed on again.
   runtime::duration DeclinedTime = std::chrono::milliseconds(30);
   /// Without a dispatching VM in contact, jobs are refused after this time.
--- a/include/yuccaplank/dispatch/server_ledger.hpp
+++ b/include/yuccaplank/dispatch/server_ledger.hpp
@@ -86,8 +86,8 @@
   virtual void send(const std::string &Vm, schema::dispatch_message Message) = 0;
   /// Sends to every VM that may coordinate jobs, the own one included.
   virtual void broadcast(const schema::dispatch_message &Message) = 0;
-  /// The room of the server has changed; state() tells it.
-  virtual void roomChanged(const std::string &Server) = 0;
+  /// The free capacity of the server has changed; state() tells it.
+  virtual void onCapacityChanged(const std::string &Server) = 0;
   /// Token for a claim, higher than Above.
   virtual std::uint64_t fencingToken(std::uint64_t Above) = 0;
   /// When this VM sent the last heartbeat that the VM has answered, by the clock that counts suspension;
@@ -110,7 +110,7 @@
   virtual void onClaimedElsewhere(std::uint64_t ItsToken) = 0;
   /// Another VM may have ordered the server under an older claim: nothing is started until the server has
   /// told what runs there, since one that was born again has forgotten the later claim.
-  virtual void lookAgain() = 0;
+  virtual void requestRunList() = 0;
   /// Gives up the server; its runs go on if their coordinators hear of a new owner in time.
   virtual void release() = 0;
   /// What the platform says of the server has changed.
@@ -123,7 +123,7 @@
   virtual void stop(const std::string &Coordinator, const run_key &Run) = 0;
   virtual void adopt(const std::string &Coordinator, const schema::adopt_reply &Reply) = 0;
   /// While runs found at a take-over wait for their coordinators: asks this one again; false otherwise.
-  virtual bool tellAdoption(const std::string &Coordinator) = 0;
+  virtual bool resendAdoption(const std::string &Coordinator) = 0;
   /// The coordinator has died or lost contact: its runs are stopped.
   virtual void stopRunsOf(const std::string &Coordinator) = 0;
   /// Stops the coordinator's runs that it does not count on; those counted on that are not here are reported
--- a/include/yuccaplank/dispatch/server_orders.hpp
+++ b/include/yuccaplank/dispatch/server_orders.hpp
@@ -65,7 +65,7 @@
   order_outcome Outcome = order_outcome::NoAnswer;
   std::optional<std::int64_t> ClockMs;
   /// Start of the incarnation, Unix milliseconds; 0 when the reply has none.
-  std::int64_t Born = 0;
+  std::int64_t IncarnationStartMs = 0;
   std::vector<run_key> Running;
   std::vector<listed_end> Ended;
 };
--- a/include/yuccaplank/dispatch/server_owner.hpp
+++ b/include/yuccaplank/dispatch/server_owner.hpp
@@ -54,7 +54,7 @@
   /// servers that were born again and have forgotten this VM's claim.
   virtual void onOwnerFound() = 0;
   /// Tells a VM with which contact begins which servers this one owns.
-  virtual void tellOwned(const std::string &Vm) = 0;
+  virtual void announceOwnedServers(const std::string &Vm) = 0;
   virtual void onResume(const std::string &Coordinator, const schema::resume_session &Session) = 0;
   virtual void onVmLost(const std::string &Vm) = 0;
   /// This VM was paused for so long that others may have taken over its servers.
--- a/src/yuccaplank/cli/arguments_test.cpp
+++ b/src/yuccaplank/cli/arguments_test.cpp
@@ -1,19 +1,19 @@
 #include "yuccaplank/testing/cli_run.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 
 using namespace std::chrono_literals;
 using namespace yuccaplank;
 using namespace yuccaplank::cli;
 using testing::cli_run;
 using testing::section;
-using testing::story;
+using testing::test_case;
 
 namespace {
 
 std::string noEnvironment(const std::string & /*Name*/) { return {}; }
 
 // Guards against a wrong command line that is run, or that ends with a status other than 2.
-const story UsageErrors("cli: usage errors end with status 2", [] {
+const test_case UsageErrors("cli: usage errors end with status 2", [] {
   cli_run Run([](const wire::http_call &) { return testing::refusedConnection(); });
   Run.Files["job.json"] = "{}";
   const std::vector<std::vector<std::string>> Wrong = {
@@ -54,7 +54,7 @@
 });
 
 // Guards against options that are ignored or mistaken for the command.
-const story Parsing("cli: argument parsing", [] {
+const test_case Parsing("cli: argument parsing", [] {
   if (auto Given = section("given global options before the command")) {
     auto Parsed = parseArguments(
         {"--entry", "127.0.0.1:1,[::1]:2", "--json", "--timeout=1.5", "waiting", "ID1"}, noEnvironment);
--- a/src/yuccaplank/cli/burn_report_test.cpp
+++ b/src/yuccaplank/cli/burn_report_test.cpp
@@ -1,9 +1,9 @@
 #include "yuccaplank/cli/burn_report.hpp"
 #include "yuccaplank/testing/cli_run.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 
 using namespace yuccaplank;
-using testing::story;
+using testing::test_case;
 
 namespace {
 
@@ -25,7 +25,7 @@
 }
 
 // Guards against counts of one VM that are taken for those of all, and against a budget that is wrong.
-const story Merge("burn report: counts of several VMs", [] {
+const test_case Merge("burn report: counts of several VMs", [] {
   auto Lines = cli::mergeBurn({countsOf(8, 10), countsOf(9, 10)});
   CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Lines.size());
   CPPUNIT_ASSERT_EQUAL(std::uint64_t{20}, Lines[0].Total);
@@ -38,7 +38,7 @@
 });
 
 // Guards against names that act as markup on the page.
-const story Escaping("burn report: HTML escaping", [] {
+const test_case Escaping("burn report: HTML escaping", [] {
   CPPUNIT_ASSERT_EQUAL(std::string("&lt;a href=&quot;&#39;&quot;&gt;&amp;amp;"),
                        cli::escapeHtml("<a href=\"'\">&amp;"));
   cli::burn_line Line;
@@ -50,7 +50,7 @@
 });
 
 // Guards against a page that needs other files, or lacks the plot.
-const story Page("burn report: one self-contained page", [] {
+const test_case Page("burn report: one self-contained page", [] {
   testing::cli_run Run([](const wire::http_call &) { return testing::replyWith(200, Counts); });
   CPPUNIT_ASSERT_EQUAL(0, Run.run({"report", "burn", "--html", "burn.html", "--operator", "127.0.0.1:1"}));
   const std::string &Html = Run.Files["burn.html"];
--- a/src/yuccaplank/cli/fleet_commands_test.cpp
+++ b/src/yuccaplank/cli/fleet_commands_test.cpp
@@ -1,11 +1,11 @@
 #include "yuccaplank/testing/cli_run.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 
 using namespace yuccaplank;
 using testing::cli_run;
 using testing::replyWith;
 using testing::section;
-using testing::story;
+using testing::test_case;
 
 namespace {
 
@@ -15,7 +15,7 @@
   "used":{"cpu":27000},"capacity":{"cpu":64000}}]})";
 
 // Guards against tables that lose a VM or server, and against errors without their reason.
-const story Fleet("vms, servers: tables and errors", [] {
+const test_case Fleet("vms, servers: tables and errors", [] {
   testing::scripted_reply Reply;
   cli_run Run([&](const wire::http_call &Call) {
     return Call.Address == "127.0.0.1:9" ? testing::refusedConnection() : Reply;
--- a/src/yuccaplank/cli/submission_test.cpp
+++ b/src/yuccaplank/cli/submission_test.cpp
@@ -1,5 +1,5 @@
 #include "yuccaplank/testing/cli_run.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 
 #include <deque>
 
@@ -10,7 +10,7 @@
 using testing::replyWith;
 using testing::scripted_reply;
 using testing::section;
-using testing::story;
+using testing::test_case;
 
 namespace {
 
@@ -46,7 +46,7 @@
 }
 
 // Guards against a job that is sent in another form than its document says.
-const story Request("submit: the request", [] {
+const test_case Request("submit: the request", [] {
   scripted_run Script({replyWith(200, Completed)});
   CPPUNIT_ASSERT_EQUAL(0, Script.submit());
   const wire::http_call &Call = Script.Run.Client.Calls.at(0);
@@ -60,7 +60,7 @@
 });
 
 // Guards against a job that is run again under another id, or given up although it can be sent again.
-const story LostAnswers("submit: lost answers", [] {
+const test_case LostAnswers("submit: lost answers", [] {
   if (auto Given = section("given an entry VM that breaks the connection")) {
     scripted_run Script({lostConnection(), replyWith(200, Completed)});
     CPPUNIT_ASSERT_EQUAL(0, Script.submit());
@@ -84,7 +84,7 @@
 });
 
 // Guards against refusals that are taken for failures, and against waiting longer than allowed.
-const story Refusals("submit: refusals", [] {
+const test_case Refusals("submit: refusals", [] {
   if (auto Given = section("given a refusal and no time to wait")) {
     scripted_run Script({refusal()});
     CPPUNIT_ASSERT_EQUAL(4, Script.submit());
@@ -109,7 +109,7 @@
 });
 
 // Guards against answers that are shown as something else.
-const story Queries("state, cancel, waiting: answers", [] {
+const test_case Queries("state, cancel, waiting: answers", [] {
   scripted_run Script({replyWith(200, R"({"state":"running"})")});
   if (auto When = section("when a job is asked for")) {
     CPPUNIT_ASSERT_EQUAL(0, Script.Run.run({"state", "5c0e7a21d94b36f8", "--queue", "jobs.example/jobs/",
--- a/src/yuccaplank/dispatch/bounds.cpp
+++ b/src/yuccaplank/dispatch/bounds.cpp
@@ -44,10 +44,11 @@
     for (duration *Time : {&Options.HeartbeatInterval, &Options.View.Lease, &Options.View.ReconnectTime,
                            &Ledger.StartLimit, &Ledger.RunLimit, &Ledger.RelayedRunLimit, &Ledger.HoldWait})
       scale(*Time, Factor);
-  Options.Coordinator.OrphanTime =
-      std::min(Options.Coordinator.OrphanTime, duration(Bounds.Resend - OrphanMargin));
-  Ledger.RunLimit = std::min(Ledger.RunLimit, longestLease(Ledger, Options.Coordinator.OrphanTime - Margin));
-  Options.Relay.OrphanTime = std::min(Options.Relay.OrphanTime, Bounds.Resend);
+  Options.Coordinator.OrphanTimeout =
+      std::min(Options.Coordinator.OrphanTimeout, duration(Bounds.Resend - OrphanMargin));
+  Ledger.RunLimit =
+      std::min(Ledger.RunLimit, longestLease(Ledger, Options.Coordinator.OrphanTimeout - Margin));
+  Options.Relay.OrphanTimeout = std::min(Options.Relay.OrphanTimeout, Bounds.Resend);
   return keepsBounds(Bounds, Options);
 }
 
@@ -65,12 +66,12 @@
   bool StartsInTime = Ledger.StartLimit <= Contact && Ledger.StartLimit <= Ledger.RelayedRunLimit;
   // The coordinator loses the owner, or dies: the owner's runs have ended before it starts others, or before
   // its caller sends the job again.
-  bool Apart = leaseOver(Ledger, Ledger.RunLimit) < Options.Coordinator.OrphanTime &&
-               Options.Coordinator.OrphanTime < Bounds.Resend;
+  bool Apart = leaseOver(Ledger, Ledger.RunLimit) < Options.Coordinator.OrphanTimeout &&
+               Options.Coordinator.OrphanTimeout < Bounds.Resend;
   // A relaying VM loses the coordinator, or dies: the coordinator's contact with it ends, then that of each
   // owner with the coordinator as it was before, with its runs.
   bool Relayed = relayedRunsOver(Options) + Margin <= Bounds.Resend &&
-                 relayedRunsOver(Options) + Margin <= Options.Relay.OrphanTime;
+                 relayedRunsOver(Options) + Margin <= Options.Relay.OrphanTimeout;
   return Useful && LeaseGranted && LeaseLasts && StartsInTime && Apart && Relayed;
 }
 
--- a/src/yuccaplank/dispatch/bounds_test.cpp
+++ b/src/yuccaplank/dispatch/bounds_test.cpp
@@ -1,5 +1,5 @@
 #include "yuccaplank/dispatch/bounds.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 
 #include <cppunit/TestAssert.h>
 
@@ -7,13 +7,13 @@
 using namespace yuccaplank::dispatch;
 using std::chrono::milliseconds;
 using testing::section;
-using testing::story;
+using testing::test_case;
 
 namespace {
 
 // Guards against bounds that no longer fit together when one of them is changed: by the time a caller sends
 // its job again, nothing of the first submission may run.
-const story Bounds("bounds: times that make a resent job safe", [] {
+const test_case Bounds("bounds: times that make a resent job safe", [] {
   platform_bounds Platform;
   entry_vm_options Options;
   if (auto Given = section("given the defaults")) {
@@ -26,10 +26,10 @@
     Platform.Resend = milliseconds(1000);
     CPPUNIT_ASSERT(!keepsBounds(Platform, Options));
     CPPUNIT_ASSERT(applyBounds(Platform, Options));
-    CPPUNIT_ASSERT(Options.Coordinator.OrphanTime < Platform.Resend);
+    CPPUNIT_ASSERT(Options.Coordinator.OrphanTimeout < Platform.Resend);
   }
   if (auto Given = section("given VMs that pass a job on before its former runs have ended")) {
-    Options.Relay.OrphanTime = milliseconds(900);
+    Options.Relay.OrphanTimeout = milliseconds(900);
     CPPUNIT_ASSERT(!keepsBounds(Platform, Options));
   }
   if (auto Given = section("given servers that grant short leases")) {
--- a/src/yuccaplank/dispatch/contact_clock_test.cpp
+++ b/src/yuccaplank/dispatch/contact_clock_test.cpp
@@ -1,5 +1,5 @@
 #include "contact_clock.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 
 #include <cppunit/TestAssert.h>
 
@@ -7,14 +7,14 @@
 using namespace yuccaplank::dispatch;
 using std::chrono::milliseconds;
 using testing::section;
-using testing::story;
+using testing::test_case;
 
 namespace {
 
 constexpr auto Limit = milliseconds(500);
 
 // Guards against contact that is prolonged by an echo of something other than a recent heartbeat.
-const story Echoes("contact clock: which echoes count", [] {
+const test_case Echoes("contact clock: which echoes count", [] {
   runtime::manual_clock Clock;
   Clock.advance(milliseconds(10'000));
   contact_clock Own(Clock, 77);
@@ -40,7 +40,7 @@
 });
 
 // Guards against contact that ends when the clock wraps around.
-const story Wrap("contact clock: the clock wraps around", [] {
+const test_case Wrap("contact clock: the clock wraps around", [] {
   runtime::manual_clock Clock;
   contact_clock Own(Clock, ~0U - 100);
   auto Told = Own.now();
--- a/src/yuccaplank/dispatch/contact_plan_test.cpp
+++ b/src/yuccaplank/dispatch/contact_plan_test.cpp
@@ -1,5 +1,5 @@
 #include "yuccaplank/dispatch/contact_plan.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 
 #include <cppunit/TestAssert.h>
 #include <fmt/format.h>
@@ -7,7 +7,7 @@
 using namespace yuccaplank;
 using namespace yuccaplank::dispatch;
 using testing::section;
-using testing::story;
+using testing::test_case;
 
 namespace {
 
@@ -20,7 +20,7 @@
 }
 
 // Guards against work of a VM that grows with the fleet, and against failure domains without a dispatcher.
-const story Choice("contact plan: who dispatches", [] {
+const test_case Choice("contact plan: who dispatches", [] {
   if (auto Given = section("given a small fleet, all VMs dispatch")) {
     CPPUNIT_ASSERT_EQUAL(std::size_t{6}, chooseDispatchers(fleet(6, 2), 3).size());
   }
@@ -40,7 +40,7 @@
 
 // Guards against callers of a failure domain that are not served because its dispatchers are lost, and
 // against contact with a whole fleet in ordinary times.
-const story Contacts("contact plan: whom a relaying VM contacts", [] {
+const test_case Contacts("contact plan: whom a relaying VM contacts", [] {
   auto Vms = fleet(60, 6);
   auto Dispatchers = chooseDispatchers(Vms, 3);
   if (auto Given =
@@ -64,7 +64,7 @@
 
 // Guards against roles that move twice when a VM restarts, and against a fleet in which each VM that starts
 // believes itself the first of its domain.
-const story Decision("contact plan: when a VM takes up the role", [] {
+const test_case Decision("contact plan: when a VM takes up the role", [] {
   dispatching_options Options;
   dispatching_decision Role(Options);
   runtime::time_point Start{};
--- a/src/yuccaplank/dispatch/entry_vm.cpp
+++ b/src/yuccaplank/dispatch/entry_vm.cpp
@@ -72,7 +72,7 @@
     statusChanged();
   }
 
-  void noteTerm(std::uint32_t Term) override {
+  void observeTerm(std::uint32_t Term) override {
     if (Term <= View->highestTerm())
       return;
     Self.set_term(Term);
@@ -123,7 +123,7 @@
     View->broken(Vm);
     auto Found = View->others().find(Vm);
     // Who does not want contact would be met again and again.
-    if (Found != View->others().end() && Found->second.Alive && Contacts.wants(Vm))
+    if (Found != View->others().end() && Found->second.InContact && Contacts.needsContact(Vm))
       Contacts.greet(Vm, Found->second.Address);
   }
 
@@ -131,7 +131,7 @@
     View->unreachable(Address);
     std::vector<std::string> Unreachable;
     for (const auto &[Vm, Known] : View->others())
-      if (Known.Address == Address && Known.Alive && Known.Broken)
+      if (Known.Address == Address && Known.InContact && Known.Broken)
         Unreachable.push_back(Vm);
     for (const std::string &Vm : Unreachable)
       apply(View->lost(Vm));
@@ -139,7 +139,7 @@
 
   [[nodiscard]] const configuration *current() const override { return Current.get(); }
   [[nodiscard]] bool ready() const override { return Current && !Self.draining() && !View->placer().empty(); }
-  job_desk &jobs() override { return Router; }
+  job_service &jobs() override { return Router; }
 
   void cancel(std::uint64_t Job, std::function<void(bool)> OnDone) override {
     if (Relay->cancel(Job, end_reason::Cancelled) || Jobs->cancel(Job, end_reason::Cancelled)) {
@@ -166,7 +166,7 @@
 
   void onPause() override {
     // Before anybody counts as lost: a VM that believes itself alone would claim everything.
-    View->introduceAgain();
+    View->restartDiscovery();
     Self.set_pauses(Self.pauses() + 1);
     View->setSelf(Self);
     std::vector<std::string> Names;
@@ -192,7 +192,7 @@
     State.Placing = Placing;
     State.VmsInContact = vmsInContact();
     for (const auto &[Vm, Known] : View->others())
-      if (Known.Alive)
+      if (Known.InContact)
         State.OldestAnswer =
             std::max(State.OldestAnswer, duration(Executor.clock().sinceBoot() - Known.AnsweredAt));
     State.IgnoredEchoes = View->ignoredEchoes();
@@ -206,7 +206,7 @@
     *Report.add_vms() = makeVmReport(Self, Options.Address, true, Placer);
     for (const auto &[Vm, Known] : View->others()) {
       schema::vm_report &Other = *Report.add_vms();
-      Other = makeVmReport(Known.Status, Known.Address, Known.Alive, Placer);
+      Other = makeVmReport(Known.Status, Known.Address, Known.InContact, Placer);
       // Nothing may have been heard from it yet.
       Other.set_vm(Vm);
     }
@@ -243,7 +243,7 @@
       return;
     }
     auto Found = View->others().find(Vm);
-    if (Found != View->others().end() && Found->second.Alive)
+    if (Found != View->others().end() && Found->second.InContact)
       Ports.send(Vm, Found->second.Address, std::move(Message));
   }
 
@@ -259,12 +259,12 @@
   [[nodiscard]] queue_lengths waitingHere() const override { return Jobs->waiting(); }
   [[nodiscard]] std::set<std::string> jobHolders() const override { return Relay->dispatchers(); }
   [[nodiscard]] std::string placer() const override { return Placer; }
-  [[nodiscard]] bool reachable(const std::string &Vm) const override { return View->alive(Vm); }
+  [[nodiscard]] bool reachable(const std::string &Vm) const override { return View->inContact(Vm); }
   [[nodiscard]] std::optional<time_point> answeredAt(const std::string &Vm) const override {
     if (Vm == Options.Vm)
       return time_point::max();
     auto Found = View->others().find(Vm);
-    if (Found == View->others().end() || !Found->second.Alive)
+    if (Found == View->others().end() || !Found->second.InContact)
       return std::nullopt;
     return Found->second.AnsweredAt;
   }
@@ -275,7 +275,7 @@
   void answer(std::uint64_t Job, const job_answer &Answer) override { Waiters.onAnswer(Job, Answer); }
   server_orders &orders() override { return Ports.orders(); }
   [[nodiscard]] bool shouldOwn(const std::string &Rack, const std::string &Domain) const override {
-    if (!View->introduced() || (Domain != Options.Domain && lostAllOfLate()))
+    if (!View->discoveryComplete() || (Domain != Options.Domain && lostAllOfLate()))
       return false;
     // The answer depends on all VMs and is asked for each server all the time.
     if (std::exchange(OwnRacksVersion, View->version()) != View->version())
@@ -299,7 +299,7 @@
     if (Term != Self.term()) {
       Self.set_term(Term);
       statusChanged();
-      Ports.termRaised(Term);
+      Ports.onTermRaised(Term);
     }
     return TokenOf(Term);
   }
@@ -327,7 +327,7 @@
       break;
     case schema::dispatch_message::kServer:
       // What a VM has sent before it was lost must not bring its servers back.
-      if (View->alive(From))
+      if (View->inContact(From))
         Queue->updateServer(From, Message.server());
       scheduleSoon();
       break;
@@ -371,7 +371,7 @@
       break;
     case schema::dispatch_message::kConfiguration:
       if (!Current || Message.configuration().version() > Current->Version)
-        Ports.configurationOffered(Message.configuration());
+        Ports.onConfigurationOffered(Message.configuration());
       break;
     case schema::dispatch_message::kOwned:
       for (const schema::owned_server &Owned : Message.owned().servers())
@@ -379,7 +379,7 @@
       break;
     case schema::dispatch_message::kRelay:
       // A VM that has been lost counts its jobs as given up.
-      if (View->alive(From))
+      if (View->inContact(From))
         Waiters.onRelayed(From, Message.relay());
       else
         declineRelayed(From, Message.relay());
@@ -482,7 +482,7 @@
     resume(Vm, false);
     OfferedVersions.erase(Vm);
     if (Contacts.coordinates(Vm))
-      Owner->tellOwned(Vm);
+      Owner->announceOwnedServers(Vm);
     tellPlacing(Vm);
   }
 
@@ -508,13 +508,13 @@
       LostAllAt = Executor.clock().now();
     Ports.disconnect(Vm);
     forgetSessions(Vm);
-    if (!Contacts.wants(Vm))
+    if (!Contacts.needsContact(Vm))
       View->forget(Vm);
   }
 
   [[nodiscard]] std::size_t vmsInContact() const {
     return static_cast<std::size_t>(
-        std::ranges::count_if(View->others(), [](const auto &Entry) { return Entry.second.Alive; }));
+        std::ranges::count_if(View->others(), [](const auto &Entry) { return Entry.second.InContact; }));
   }
 
   [[nodiscard]] bool lostAllOfLate() const {
@@ -522,7 +522,7 @@
   }
 
   void forgetSessions(const std::string &Vm) {
-    Queue->dropVm(Vm);
+    Queue->removeVm(Vm);
     Owner->onVmLost(Vm);
     Jobs->onVmLost(Vm);
     Waiters.onVmLost(Vm);
@@ -542,7 +542,7 @@
     if (!Placing || PlacingSince >= Before)
       return;
     for (const std::string &Vm : Contacts.missingSince(Before))
-      Ports.registrationStale(Vm);
+      Ports.onStaleRegistration(Vm);
   }
 
   void statusChanged() {
@@ -581,9 +581,9 @@
     Self.set_role(Role);
     View->setSelf(Self);
     if (WasRelay)
-      View->introduceAgain();
+      View->restartDiscovery();
     if (WasRelay != Contacts.relays())
-      Ports.serversNeeded(!Contacts.relays());
+      Ports.onServersNeeded(!Contacts.relays());
     Contacts.tryOthers();
     statusChanged();
   }
@@ -591,7 +591,7 @@
   void reviewRoles() {
     ReviewedVersion = View->version();
     Relay->onDispatcherFound();
-    std::string Now = View->introduced() ? View->placer() : std::string();
+    std::string Now = View->discoveryComplete() ? View->placer() : std::string();
     if (Now != Placer) {
       log(log_level::Info, "placer_changed", {{"placer", Now}, {"former", Placer}});
       Placer = Now;
--- a/src/yuccaplank/dispatch/fleet_contacts.cpp
+++ b/src/yuccaplank/dispatch/fleet_contacts.cpp
@@ -9,7 +9,7 @@
 // Lists of the VMs heard from grow with their number and change rarely.
 constexpr std::uint64_t HeartbeatsToPeerList = 10;
 
-bool mayCoordinate(const known_vm &Vm) { return Vm.Alive && Vm.Status.role() != schema::VM_RELAYS; }
+bool mayCoordinate(const known_vm &Vm) { return Vm.InContact && Vm.Status.role() != schema::VM_RELAYS; }
 
 } // namespace
 
@@ -46,14 +46,14 @@
   std::set<std::string> Names = Dispatchers;
   if (relays()) {
     Names = contactsOfRelay(Registered, Dispatchers, Self.domain(),
-                            [this](const std::string &Vm) { return View.alive(Vm); });
+                            [this](const std::string &Vm) { return View.inContact(Vm); });
     Names.merge(Ports.jobHolders());
   }
   Names.erase(Self.vm());
   return Names;
 }
 
-bool fleet_contacts::wants(const std::string &Vm) const {
+bool fleet_contacts::needsContact(const std::string &Vm) const {
   return Registered.empty() || contacts().contains(Vm);
 }
 
@@ -73,7 +73,7 @@
   std::optional<schema::dispatch_message> ToDispatchers;
   std::optional<schema::dispatch_message> ToRelays;
   for (const auto &[Vm, Known] : View.others()) {
-    if (!Known.Alive || (!ToAll && !Contacts.contains(Vm)))
+    if (!Known.InContact || (!ToAll && !Contacts.contains(Vm)))
       continue;
     bool IsRelay = Known.Status.role() == schema::VM_RELAYS;
     std::optional<schema::dispatch_message> &Status = IsRelay ? ToRelays : ToDispatchers;
@@ -89,12 +89,12 @@
     if (auto Found = Registered.find(Vm); Found != Registered.end())
       View.learn(Vm, Found->second.Address);
   if (!Registered.empty())
-    forgetStrangers(Contacts);
+    forgetUnneededVms(Contacts);
   schema::dispatch_message Message = makeStatus(true, false);
   bool AnyAlive = false;
   for (const auto &[Vm, Known] : View.others()) {
-    AnyAlive |= Known.Alive;
-    if (!Known.Alive)
+    AnyAlive |= Known.InContact;
+    if (!Known.InContact)
       sendStatus(Vm, Known.Address, Message);
   }
   for (const std::string &Seed : Seeds)
@@ -107,7 +107,7 @@
 }
 
 void fleet_contacts::answerGreeting(const schema::vm_status &Greeting, bool ContactBegins) {
-  bool InContact = View.alive(Greeting.vm()) && Greeting.echo_ms() > 0;
+  bool InContact = View.inContact(Greeting.vm()) && Greeting.echo_ms() > 0;
   if (!ContactBegins && (InContact || Greeting.answer()))
     return;
   schema::dispatch_message Message = makeStatus(true, false);
@@ -121,10 +121,10 @@
   Ports.sendTo(Vm, Address, std::move(Message));
 }
 
-void fleet_contacts::forgetStrangers(const std::set<std::string> &Contacts) {
+void fleet_contacts::forgetUnneededVms(const std::set<std::string> &Contacts) {
   std::vector<std::string> Strangers;
   for (const auto &[Vm, Known] : View.others())
-    if (!Known.Alive && !Contacts.contains(Vm))
+    if (!Known.InContact && !Contacts.contains(Vm))
       Strangers.push_back(Vm);
   for (const std::string &Vm : Strangers)
     View.forget(Vm);
@@ -133,27 +133,27 @@
 std::vector<std::string> fleet_contacts::missingSince(runtime::time_point Before) const {
   std::vector<std::string> Missing;
   for (const auto &[Vm, Known] : View.others())
-    if (Dispatchers.contains(Vm) && !Known.Alive && Known.LastHeard < Before)
+    if (Dispatchers.contains(Vm) && !Known.InContact && Known.LastHeard < Before)
       Missing.push_back(Vm);
   return Missing;
 }
 
 bool fleet_contacts::ownerMissing() const {
-  return std::ranges::any_of(Dispatchers, [this](const std::string &Vm) { return !View.alive(Vm); });
+  return std::ranges::any_of(Dispatchers, [this](const std::string &Vm) { return !View.inContact(Vm); });
 }
 
 queue_lengths fleet_contacts::waitingInFleet() const {
   queue_lengths Lengths = Ports.waitingHere();
   for (const auto &[Vm, Known] : View.others())
     for (const schema::queue_length &Length : Known.Status.queues())
-      if (Known.Alive)
+      if (Known.InContact)
         Lengths[Length.queue()] += Length.waiting();
   if (!relays())
     return Lengths;
   // A VM that relays hears from few others, of which each tells the lengths of the fleet.
   for (const auto &[Vm, Known] : View.others())
     for (const schema::queue_length &Length : Known.Status.fleet_queues())
-      if (Known.Alive)
+      if (Known.InContact)
         Lengths[Length.queue()] = std::max(Lengths[Length.queue()], Length.waiting());
   return Lengths;
 }
--- a/src/yuccaplank/dispatch/fleet_contacts.hpp
+++ b/src/yuccaplank/dispatch/fleet_contacts.hpp
@@ -53,7 +53,7 @@
   [[nodiscard]] std::vector<std::string> coordinatingVms() const;
 
   /// Whether this VM keeps contact with the other one; that one may still contact this one.
-  [[nodiscard]] bool wants(const std::string &Vm) const;
+  [[nodiscard]] bool needsContact(const std::string &Vm) const;
   /// Without entries from the store, contact spreads from the VMs that answer.
   void learnPeers(const schema::vm_status &Status);
   void sendHeartbeats();
@@ -73,7 +73,7 @@
 
 private:
   [[nodiscard]] std::set<std::string> contacts() const;
-  void forgetStrangers(const std::set<std::string> &Contacts);
+  void forgetUnneededVms(const std::set<std::string> &Contacts);
   void sendStatus(const std::string &Vm, const std::string &Address, schema::dispatch_message Message);
   [[nodiscard]] schema::dispatch_message makeStatus(bool WithPeers, bool ForRelay) const;
 
--- a/src/yuccaplank/dispatch/fleet_view.cpp
+++ b/src/yuccaplank/dispatch/fleet_view.cpp
@@ -50,7 +50,7 @@
 
   void forget(const std::string &Vm) override {
     auto Found = Others.find(Vm);
-    if (Found != Others.end() && !Found->second.Alive)
+    if (Found != Others.end() && !Found->second.InContact)
       Others.erase(Found);
   }
 
@@ -65,12 +65,12 @@
     noteEcho(Vm, Status);
     if (!withinLease(Vm))
       return {};
-    Vm.Tried = true;
-    noteChange(!Vm.Alive || leadingPart(Vm.Status) != leadingPart(Status));
-    bool RoleChanged = Vm.Alive && Vm.Status.role() != Status.role();
+    Vm.Discovered = true;
+    noteChange(!Vm.InContact || leadingPart(Vm.Status) != leadingPart(Status));
+    bool RoleChanged = Vm.InContact && Vm.Status.role() != Status.role();
     Vm.Status = Status;
     bool WasBroken = std::exchange(Vm.Broken, false);
-    if (!std::exchange(Vm.Alive, true))
+    if (!std::exchange(Vm.InContact, true))
       return {{view_change::kind::Found, Status.vm()}};
     if (WasBroken || RoleChanged)
       return {{view_change::kind::Resumed, Status.vm()}};
@@ -83,7 +83,7 @@
     if (Found == Others.end())
       return;
     const known_vm &Other = Found->second;
-    if (Other.Alive && withinLease(Other))
+    if (Other.InContact && withinLease(Other))
       Status.set_echo_ms(Other.ClockMs);
     else
       Status.set_greeting_echo_ms(Other.ClockMs);
@@ -94,7 +94,7 @@
     if (Found == Others.end())
       return;
     Found->second.ClockMs = 0;
-    if (!Found->second.Alive)
+    if (!Found->second.InContact)
       return;
     Found->second.Broken = true;
     Found->second.LastHeard = Clock.now();
@@ -116,7 +116,7 @@
     NextEnd = time_point::max();
     std::vector<view_change> Changes;
     for (auto &[Name, Vm] : Others) {
-      if (!Vm.Alive)
+      if (!Vm.InContact)
         continue;
       bool GivenUp = Vm.Broken && Clock.now() - Vm.LastHeard >= Options.ReconnectTime;
       if (GivenUp || !withinLease(Vm)) {
@@ -133,32 +133,32 @@
 
   [[nodiscard]] const std::map<std::string, known_vm> &others() const override { return Others; }
 
-  [[nodiscard]] bool alive(const std::string &Vm) const override {
+  [[nodiscard]] bool inContact(const std::string &Vm) const override {
     if (Vm == Self.vm())
       return true;
     auto Found = Others.find(Vm);
-    return Found != Others.end() && Found->second.Alive;
+    return Found != Others.end() && Found->second.InContact;
   }
 
   [[nodiscard]] std::uint64_t ignoredEchoes() const override { return IgnoredEchoes; }
 
-  void introduceAgain() override {
+  void restartDiscovery() override {
     StartedAt = Clock.now();
     for (auto &[Name, Vm] : Others)
-      Vm.Tried = false;
+      Vm.Discovered = false;
   }
 
   void unreachable(const std::string &Address) override {
     for (auto &[Name, Vm] : Others)
-      if (Vm.Address == Address && !Vm.Alive)
-        Vm.Tried = true;
+      if (Vm.Address == Address && !Vm.InContact)
+        Vm.Discovered = true;
   }
 
-  [[nodiscard]] bool introduced() const override {
-    if (Clock.now() - StartedAt >= Options.IntroductionTime)
+  [[nodiscard]] bool discoveryComplete() const override {
+    if (Clock.now() - StartedAt >= Options.DiscoveryTimeout)
       return true;
     return !Others.empty() &&
-           std::ranges::all_of(Others, [](const auto &Entry) { return Entry.second.Tried; });
+           std::ranges::all_of(Others, [](const auto &Entry) { return Entry.second.Discovered; });
   }
 
   [[nodiscard]] std::string placer() const override {
@@ -196,7 +196,7 @@
 
   // What was in contact stays so only by the echo of a VM that counts on this one.
   void noteEcho(known_vm &Vm, const schema::vm_status &Status) {
-    std::uint32_t Echo = Status.echo_ms() > 0 || Vm.Alive ? Status.echo_ms() : Status.greeting_echo_ms();
+    std::uint32_t Echo = Status.echo_ms() > 0 || Vm.InContact ? Status.echo_ms() : Status.greeting_echo_ms();
     if (Echo == 0)
       return;
     auto ShownAt = OwnClock.shownAt(Echo, Options.Lease);
@@ -213,7 +213,7 @@
     Vm.Broken = false;
     Vm.ClockMs = 0;
     Vm.AnsweredAt = time_point::min();
-    bool WasAlive = std::exchange(Vm.Alive, false);
+    bool WasAlive = std::exchange(Vm.InContact, false);
     noteChange(WasAlive);
     return WasAlive;
   }
@@ -234,7 +234,7 @@
     if (mayLead(Self))
       Consider(known_vm(), Self);
     for (const auto &[Name, Vm] : Others)
-      if (Vm.Alive && mayLead(Vm.Status))
+      if (Vm.InContact && mayLead(Vm.Status))
         Consider(Vm, Vm.Status);
     return Best ? Best->vm() : std::string();
   }
--- a/src/yuccaplank/dispatch/fleet_view_test.cpp
+++ b/src/yuccaplank/dispatch/fleet_view_test.cpp
@@ -1,5 +1,5 @@
 #include "yuccaplank/dispatch/fleet_view.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 
 #include <cppunit/TestAssert.h>
 #include <fmt/format.h>
@@ -10,7 +10,7 @@
 using namespace yuccaplank::dispatch;
 using std::chrono::milliseconds;
 using testing::section;
-using testing::story;
+using testing::test_case;
 
 namespace {
 
@@ -39,7 +39,7 @@
 }
 
 // Guards against two VMs of one view with different roles, and against a restarted VM that takes a role back.
-const story Roles("fleet view: roles", [] {
+const test_case Roles("fleet view: roles", [] {
   runtime::manual_clock Clock;
   auto View = makeFleetView(Clock);
   View->setSelf(statusOf("a", "d1", 7));
@@ -108,7 +108,7 @@
 });
 
 // Guards against late detection, and against taking a broken connection for a death.
-const story Contact("fleet view: contact", [] {
+const test_case Contact("fleet view: contact", [] {
   runtime::manual_clock Clock;
   Clock.advance(milliseconds(10'000));
   auto View = makeFleetView(Clock);
@@ -135,7 +135,7 @@
 
 // Guards against a VM that lags and acts for others which have given it up: contact counts from the sending
 // of the heartbeat that was answered, however late the answer is read.
-const story Lease("fleet view: contact is a lease on the own clock", [] {
+const test_case Lease("fleet view: contact is a lease on the own clock", [] {
   runtime::manual_clock Clock;
   Clock.advance(milliseconds(10'000));
   auto View = makeFleetView(Clock);
@@ -143,7 +143,7 @@
   auto Early = answering(*View, statusOf("b", "d1", 2));
   if (auto When = section("a status that answers nothing begins no contact")) {
     CPPUNIT_ASSERT(View->heard(statusOf("b", "d1", 2)).empty());
-    CPPUNIT_ASSERT(!View->alive("b"));
+    CPPUNIT_ASSERT(!View->inContact("b"));
     if (auto Then = section("its clock is echoed as a greeting")) {
       auto Greeting = statusOf("b", "d1", 2);
       Greeting.set_clock_ms(5000);
@@ -194,25 +194,25 @@
 });
 
 // Guards against a VM that has just started, or was paused, and believes itself alone.
-const story Introduction("fleet view: introduction", [] {
+const test_case Introduction("fleet view: introduction", [] {
   runtime::manual_clock Clock;
   auto View = makeFleetView(Clock);
   View->setSelf(statusOf("a", "d1", 1));
   View->learn("b", "b:1");
   View->learn("c", "c:1");
   hear(*View, statusOf("b", "d1", 2));
-  CPPUNIT_ASSERT(!View->introduced());
+  CPPUNIT_ASSERT(!View->discoveryComplete());
   if (auto When = section("it ends when each known VM was heard or is out of reach")) {
     View->unreachable("c:1");
-    CPPUNIT_ASSERT(View->introduced());
+    CPPUNIT_ASSERT(View->discoveryComplete());
     if (auto Then = section("and begins again after a pause")) {
-      View->introduceAgain();
-      CPPUNIT_ASSERT(!View->introduced());
+      View->restartDiscovery();
+      CPPUNIT_ASSERT(!View->discoveryComplete());
     }
   }
   if (auto When = section("it ends after 700 ms in any case")) {
     Clock.advance(milliseconds(700));
-    CPPUNIT_ASSERT(View->introduced());
+    CPPUNIT_ASSERT(View->discoveryComplete());
   }
 });
 
--- a/src/yuccaplank/dispatch/job_coordinator.cpp
+++ b/src/yuccaplank/dispatch/job_coordinator.cpp
@@ -408,7 +408,7 @@
         continue;
       Task.Phase = task_phase::Orphaned;
       ++Counters.Orphaned;
-      Task.OrphanTimer = Executor.after(Options.OrphanTime, [this, Run] { onOrphanTime(Run); });
+      Task.OrphanTimer = Executor.after(Options.OrphanTimeout, [this, Run] { onOrphanTime(Run); });
     }
   }
 
--- a/src/yuccaplank/dispatch/job_coordinator_test.cpp
+++ b/src/yuccaplank/dispatch/job_coordinator_test.cpp
@@ -1,7 +1,7 @@
 #include "yuccaplank/dispatch/fleet_view.hpp"
 #include "yuccaplank/dispatch/job_coordinator.hpp"
 #include "yuccaplank/dispatch/server_ledger.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 
 #include <cppunit/TestAssert.h>
 
@@ -11,7 +11,7 @@
 using namespace yuccaplank::dispatch;
 using std::chrono::milliseconds;
 using testing::section;
-using testing::story;
+using testing::test_case;
 
 namespace {
 
@@ -90,7 +90,7 @@
 
 // Guards against a second run beside the first when an owner tells the end of an earlier submission's run,
 // which had the same number on another server.
-const story OtherServer("job coordinator: an end on another server", [] {
+const test_case OtherServer("job coordinator: an end on another server", [] {
   vm Vm;
   Vm.submit(1);
   Vm.grant(runOf(0, 1));
@@ -101,7 +101,7 @@
 });
 
 // Guards against partial answers, and against a job that is failed before its attempts are used up.
-const story Answers("job coordinator: answers", [] {
+const test_case Answers("job coordinator: answers", [] {
   vm Vm;
   Vm.submit(2);
   Vm.grant(runOf(0, 1));
@@ -132,7 +132,7 @@
 });
 
 // Guards against "not run" about a job of which a start order has left.
-const story Refusal("job coordinator: refusals are true", [] {
+const test_case Refusal("job coordinator: refusals are true", [] {
   vm Vm;
   Vm.submit(2);
   schema::reject_job Rejection;
@@ -158,7 +158,7 @@
 });
 
 // Guards against waiting for ever without a placer.
-const story NoPlacer("job coordinator: no placer in sight", [] {
+const test_case NoPlacer("job coordinator: no placer in sight", [] {
   vm Vm;
   Vm.Placer.clear();
   Vm.submit(1);
@@ -180,7 +180,7 @@
 });
 
 // Guards against two runs of one task when messages about owners overtake each other.
-const story Owners("job coordinator: a server changes its owner", [] {
+const test_case Owners("job coordinator: a server changes its owner", [] {
   vm Vm;
   Vm.submit(1);
   Vm.grant(runOf(0, 1));
@@ -220,7 +220,7 @@
 });
 
 // Guards against a second run before the first has certainly ended, and against waiting for ever.
-const story Lost("job coordinator: the owner is lost", [] {
+const test_case Lost("job coordinator: the owner is lost", [] {
   vm Vm;
   Vm.submit(1);
   Vm.grant(runOf(0, 1));
--- a/src/yuccaplank/dispatch/job_relay.cpp
+++ b/src/yuccaplank/dispatch/job_relay.cpp
@@ -180,7 +180,7 @@
   void orphan(relayed_job &Job) {
     Job.Phase = relay_phase::Orphaned;
     Job.MayHaveRun = true;
-    endPhaseAfter(Job, Options.OrphanTime, &job_relay_impl::passAgain);
+    endPhaseAfter(Job, Options.OrphanTimeout, &job_relay_impl::passAgain);
   }
 
   // Nothing is started because of the job's last pass. The pause keeps it from going to and fro.
--- a/src/yuccaplank/dispatch/job_relay.hpp
+++ b/src/yuccaplank/dispatch/job_relay.hpp
@@ -2,7 +2,7 @@
 // another one when nothing of it can run any more.
 #pragma once
 
-#include "yuccaplank/dispatch/job_desk.hpp"
+#include "yuccaplank/dispatch/job_service.hpp"
 #include "yuccaplank/dispatch/messages.hpp"
 #include "yuccaplank/dispatch/relay_options.hpp"
 #include "yuccaplank/runtime/executor.hpp"
@@ -23,7 +23,7 @@
   virtual void answer(std::uint64_t Job, const job_answer &Answer) = 0;
 };
 
-class job_relay : public job_desk {
+class job_relay : public job_service {
 public:
   virtual void onAnswer(const std::string &Vm, const schema::relayed_answer &Answer) = 0;
   /// A dispatching VM has come into contact: jobs that wait for one are passed on.
--- a/src/yuccaplank/dispatch/job_relay_test.cpp
+++ b/src/yuccaplank/dispatch/job_relay_test.cpp
@@ -1,6 +1,6 @@
 #include "job_relay.hpp"
 #include "relay_messages.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 
 #include <cppunit/TestAssert.h>
 
@@ -10,7 +10,7 @@
 using namespace yuccaplank::dispatch;
 using std::chrono::milliseconds;
 using testing::section;
-using testing::story;
+using testing::test_case;
 
 namespace {
 
@@ -59,7 +59,7 @@
 
 // Guards against a job that runs on behalf of two dispatching VMs at a time, and against a caller without
 // answer.
-const story Lost("job relay: the dispatching VM is lost", [] {
+const test_case Lost("job relay: the dispatching VM is lost", [] {
   vm Vm;
   Vm.submit(milliseconds(4000));
   CPPUNIT_ASSERT(Vm.passedTo() == names{"d1"});
@@ -103,7 +103,7 @@
 
 // Guards against jobs that wait out the time of a loss, or go to and fro without end, when the dispatching VM
 // lags and takes nothing.
-const story Declined("job relay: the dispatching VM does not take the job", [] {
+const test_case Declined("job relay: the dispatching VM does not take the job", [] {
   vm Vm;
   Vm.submit();
   auto Decline = [&Vm] { Vm.Relay->onAnswer("d1", makeNotTaken(Vm.Sent.back().second.relay()).relayed()); };
@@ -138,7 +138,7 @@
 });
 
 // Guards against jobs that wait for ever, and against a refusal as "not run" of a job that may have run.
-const story Alone("job relay: no dispatching VM in contact", [] {
+const test_case Alone("job relay: no dispatching VM in contact", [] {
   vm Vm;
   Vm.Dispatcher.clear();
   Vm.submit();
@@ -164,7 +164,7 @@
 });
 
 // Guards against work for callers who have left, and against answers after the deadline.
-const story Ends("job relay: callers leave, deadlines pass", [] {
+const test_case Ends("job relay: callers leave, deadlines pass", [] {
   vm Vm;
   Vm.submit();
   if (auto When = section("when the caller leaves, the dispatching VM is told")) {
--- a/src/yuccaplank/dispatch/job_router.hpp
+++ b/src/yuccaplank/dispatch/job_router.hpp
@@ -8,7 +8,7 @@
 
 namespace yuccaplank::dispatch {
 
-class job_router final : public job_desk {
+class job_router final : public job_service {
 public:
   /// Relays tells whether new jobs go to another VM now.
   job_router(job_coordinator &Coordinator, job_waiters &Waiters, job_relay &Relay,
--- a/src/yuccaplank/dispatch/job_waiters_test.cpp
+++ b/src/yuccaplank/dispatch/job_waiters_test.cpp
@@ -1,6 +1,6 @@
 #include "job_waiters.hpp"
 #include "relay_messages.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 
 #include <cppunit/TestAssert.h>
 
@@ -10,7 +10,7 @@
 using namespace yuccaplank::dispatch;
 using std::chrono::milliseconds;
 using testing::section;
-using testing::story;
+using testing::test_case;
 
 namespace {
 
@@ -65,7 +65,7 @@
 
 // Guards against answers that reach only one of those who wait, and against jobs that end while one still
 // waits.
-const story Several("job waiters: a caller and a relaying VM wait for one job", [] {
+const test_case Several("job waiters: a caller and a relaying VM wait for one job", [] {
   vm Vm;
   Vm.relay("r1");
   CPPUNIT_ASSERT(Vm.Waiters.submit({}, vm::request()));
@@ -85,7 +85,7 @@
 });
 
 // Guards against a job that runs again because its answer was lost, and against jobs that run for nobody.
-const story Sessions("job waiters: the session with a relaying VM breaks", [] {
+const test_case Sessions("job waiters: the session with a relaying VM breaks", [] {
   vm Vm;
   Vm.relay("r1");
   if (auto When = section("when the VM is lost, its job ends")) {
--- a/src/yuccaplank/dispatch/placement_queue.cpp
+++ b/src/yuccaplank/dispatch/placement_queue.cpp
@@ -1,6 +1,6 @@
 #include "yuccaplank/dispatch/placement_queue.hpp"
 #include "pool_index.hpp"
-#include "room.hpp"
+#include "resource_amounts.hpp"
 #include "yuccaplank/dispatch/job_answer.hpp"
 #include "yuccaplank/runtime/log.hpp"
 
@@ -88,14 +88,14 @@
   }
 
   void decline(const std::string &Coordinator, const schema::decline_grant &Declined) override {
-    forgetGrant(Declined.id());
+    releaseGrant(Declined.id());
     if (!Declined.unreachable_owner().empty())
       Unreachable[{Coordinator, Declined.unreachable_owner()}] = Clock.now() + Options.UnreachableTime;
   }
 
   void updateServer(const std::string &Owner, const schema::server_state &State) override {
     for (std::uint64_t Grant : State.handled())
-      forgetGrant(Grant);
+      releaseGrant(Grant);
     auto Found = Servers.find(State.server());
     if (State.removed()) {
       if (Found != Servers.end() && Found->second.Owner == Owner)
@@ -113,7 +113,7 @@
     index(Server);
   }
 
-  void dropVm(const std::string &Vm) override {
+  void removeVm(const std::string &Vm) override {
     for (auto Server = Servers.begin(); Server != Servers.end();)
       Server = Server->second.Owner == Vm ? eraseServer(Server) : std::next(Server);
     std::erase_if(Jobs, [&](const auto &Entry) { return Entry.first.Coordinator == Vm; });
@@ -122,7 +122,7 @@
       if (Grant.Coordinator == Vm)
         Void.push_back(Id);
     for (std::uint64_t Id : Void)
-      forgetGrant(Id);
+      releaseGrant(Id);
   }
 
   void schedule() override {
@@ -227,11 +227,11 @@
     }
   }
 
-  [[nodiscard]] room freeRoom(const known_server &Server) const {
-    room Free = roomOf(Server.State.capacity());
-    Free.take(Server.State.used());
+  [[nodiscard]] resource_amounts freeCapacity(const known_server &Server) const {
+    resource_amounts Free = toResourceAmounts(Server.State.capacity());
+    Free.subtract(Server.State.used());
     for (std::uint64_t Grant : Server.Grants)
-      Free.take(Grants.at(Grant).Size);
+      Free.subtract(Grants.at(Grant).Size);
     return Free;
   }
 
@@ -247,8 +247,8 @@
   void index(const known_server &Server) {
     const schema::server_state &State = Server.State;
     auto [Pool, IsNew] = Pools.try_emplace(State.pool(), Options.SlownessStep);
-    Pool->second.set(State.server(),
-                     {freeRoom(Server), roomOf(State.capacity()), State.slowness(), admits(Server)});
+    Pool->second.set(State.server(), {freeCapacity(Server), toResourceAmounts(State.capacity()),
+                                      State.slowness(), admits(Server)});
   }
 
   server_iterator eraseServer(server_iterator Server) {
@@ -282,7 +282,7 @@
     if (!Choice.Id && !Job.Request.avoid().empty())
       Choice = Pool->second.best(Job.Request.size(), Allowed, OutOfReach);
     if (!Choice.Id && Unreachable.empty())
-      NoRoom[Job.Request.pool()].push_back(roomOf(Job.Request.size()));
+      NoRoom[Job.Request.pool()].push_back(toResourceAmounts(Job.Request.size()));
     bool Waits = !Choice.Suffices && Pool->second.anyWithin(Allowed);
     // The index's own name of the server ends when the server's room changes.
     return Choice.Id && !Waits ? &Servers.find(*Choice.Id)->first : nullptr;
@@ -293,8 +293,8 @@
     auto Found = NoRoom.find(Request.pool());
     if (Found == NoRoom.end())
       return false;
-    room Size = roomOf(Request.size());
-    return std::ranges::any_of(Found->second, [&](const room &Failed) {
+    resource_amounts Size = toResourceAmounts(Request.size());
+    return std::ranges::any_of(Found->second, [&](const resource_amounts &Failed) {
       return Size.Cpu >= Failed.Cpu && Size.MemoryMb >= Failed.MemoryMb &&
              Size.Accelerators >= Failed.Accelerators;
     });
@@ -328,11 +328,11 @@
       runtime::log(runtime::log_level::Warning, "grant_expired",
                    {{"server", Grants.at(Id).Server}, {"coordinator", Grants.at(Id).Coordinator}});
       ++Counters.GrantsExpired;
-      forgetGrant(Id);
+      releaseGrant(Id);
     }
   }
 
-  void forgetGrant(std::uint64_t Id) {
+  void releaseGrant(std::uint64_t Id) {
     auto Found = Grants.find(Id);
     if (Found == Grants.end())
       return;
@@ -354,7 +354,7 @@
   std::map<std::string, known_server> Servers;
   std::map<std::string, pool_index> Pools;
   // Sizes for which a pool had no room in this turn.
-  std::map<std::string, std::vector<room>> NoRoom;
+  std::map<std::string, std::vector<resource_amounts>> NoRoom;
   std::unordered_map<std::uint64_t, outstanding_grant> Grants;
   // Pairs of a coordinator and an owner that it cannot reach, until a time.
   std::map<std::pair<std::string, std::string>, time_point> Unreachable;
--- a/src/yuccaplank/dispatch/placement_queue_test.cpp
+++ b/src/yuccaplank/dispatch/placement_queue_test.cpp
@@ -1,5 +1,5 @@
 #include "yuccaplank/dispatch/placement_queue.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 
 #include <cppunit/TestAssert.h>
 
@@ -11,7 +11,7 @@
 using namespace yuccaplank::dispatch;
 using std::chrono::milliseconds;
 using testing::section;
-using testing::story;
+using testing::test_case;
 
 namespace {
 
@@ -72,7 +72,7 @@
 };
 
 // Guards against starts beyond a server's room, and against room that stays reserved for ever.
-const story Room("placement queue: room", [] {
+const test_case Room("placement queue: room", [] {
   placer Placer;
   Placer.server("s1", 1);
   Placer.place(Placer.job(1, 3, 100));
@@ -114,7 +114,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, Placer.Queue->counters().GrantsExpired);
   }
   if (auto When = section("when the owner is lost, its servers get nothing more")) {
-    Placer.Queue->dropVm("owner");
+    Placer.Queue->removeVm("owner");
     Placer.Queue->schedule();
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, Placer.Grants.size());
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Placer.Queue->counters().Servers);
@@ -122,7 +122,7 @@
 });
 
 // Guards against the state of a former owner hiding that of the present one.
-const story Owners("placement queue: two owners of a server", [] {
+const test_case Owners("placement queue: two owners of a server", [] {
   placer Placer;
   Placer.server("s1", 1, 64000, 0, 7, "new");
   Placer.server("s1", 1, 64000, 0, 3, "former");
@@ -147,7 +147,7 @@
 
 // Guards against long tasks on servers on which they miss their objective although a faster one is free soon:
 // the pattern of servers that turn slow, and of a burst of long jobs.
-const story Speeds("placement queue: servers of different speed", [] {
+const test_case Speeds("placement queue: servers of different speed", [] {
   placer Placer;
   if (auto When = section("given free servers, the fastest is taken")) {
     Placer.server("slow", 1.6);
@@ -179,7 +179,7 @@
 });
 
 // Guards against a month-end burst in which everything is late: who is served first, and who is refused when.
-const story Burst("placement queue: more jobs than room", [] {
+const test_case Burst("placement queue: more jobs than room", [] {
   placer Placer;
   Placer.server("s1", 1, 64000, 64000);
   auto Free = [&](std::uint32_t Tasks) {
--- a/src/yuccaplank/dispatch/pool_index.cpp
+++ b/src/yuccaplank/dispatch/pool_index.cpp
@@ -45,7 +45,7 @@
 bool pool_index::fitsAnywhere(const schema::task_size &Size) const {
   return std::ranges::any_of(Capacities, [&](const auto &Kind) {
     auto [Cpu, MemoryMb, Accelerators] = Kind.first;
-    return room{Cpu, MemoryMb, Accelerators}.fits(Size);
+    return resource_amounts{Cpu, MemoryMb, Accelerators}.fits(Size);
   });
 }
 
--- a/src/yuccaplank/dispatch/pool_index.hpp
+++ b/src/yuccaplank/dispatch/pool_index.hpp
@@ -2,7 +2,7 @@
 // task.
 #pragma once
 
-#include "room.hpp"
+#include "resource_amounts.hpp"
 
 #include <cstddef>
 #include <functional>
@@ -20,8 +20,8 @@
   explicit pool_index(double SlownessStep) : SlownessStep(SlownessStep) {}
 
   struct entry {
-    room Free;
-    room Capacity;
+    resource_amounts Free;
+    resource_amounts Capacity;
     double Slowness = 0;
     /// Whether the server takes tasks now.
     bool Admits = false;
--- a/src/yuccaplank/dispatch/pool_index_test.cpp
+++ b/src/yuccaplank/dispatch/pool_index_test.cpp
@@ -1,6 +1,6 @@
 #include "pool_index.hpp"
 #include "yuccaplank/runtime/random.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 
 #include <cppunit/TestAssert.h>
 #include <fmt/format.h>
@@ -10,7 +10,7 @@
 
 using namespace yuccaplank;
 using namespace yuccaplank::dispatch;
-using testing::story;
+using testing::test_case;
 
 namespace {
 
@@ -40,7 +40,7 @@
 
 // Guards against an index that forgets a server, keeps one that has changed, or chooses another than a look
 // at all of them would.
-const story Choices("pool index: the same choices as a look at every server", [] {
+const test_case Choices("pool index: the same choices as a look at every server", [] {
   runtime::random Random(7);
   pool_index Index(Step);
   std::vector<listed_server> Servers(40);
@@ -66,7 +66,7 @@
 });
 
 // Guards against jobs that are refused as too large although a server is large enough, or wait for none.
-const story Sizes("pool index: sizes and speeds", [] {
+const test_case Sizes("pool index: sizes and speeds", [] {
   pool_index Index(Step);
   schema::task_size Size;
   Size.set_cpu(80'000);
--- a/src/yuccaplank/dispatch/relay_messages.hpp
+++ b/src/yuccaplank/dispatch/relay_messages.hpp
@@ -1,7 +1,7 @@
 // Messages between VMs that relay jobs and VMs that dispatch them.
 #pragma once
 
-#include "yuccaplank/dispatch/job_desk.hpp"
+#include "yuccaplank/dispatch/job_service.hpp"
 #include "yuccaplank/dispatch/messages.hpp"
 
 namespace yuccaplank::dispatch {
--- a/src/yuccaplank/dispatch/room.hpp
+++ b/src/yuccaplank/dispatch/resource_amounts.hpp
@@ -8,12 +8,12 @@
 namespace yuccaplank::dispatch {
 
 /// Negative where more is taken than there is.
-struct room {
+struct resource_amounts {
   std::int64_t Cpu = 0;
   std::int64_t MemoryMb = 0;
   std::int64_t Accelerators = 0;
 
-  void take(const schema::task_size &Size) {
+  void subtract(const schema::task_size &Size) {
     Cpu -= Size.cpu();
     MemoryMb -= Size.memory_mb();
     Accelerators -= Size.accelerators();
@@ -23,7 +23,7 @@
   }
 };
 
-inline room roomOf(const schema::task_size &Size) {
+inline resource_amounts toResourceAmounts(const schema::task_size &Size) {
   return {Size.cpu(), Size.memory_mb(), Size.accelerators()};
 }
 
--- a/src/yuccaplank/dispatch/server_look.hpp
+++ b/src/yuccaplank/dispatch/run_list_refresh.hpp
@@ -8,32 +8,32 @@
 
 namespace yuccaplank::dispatch {
 
-class server_look {
+class run_list_refresh {
 public:
-  /// A list is wanted that is asked for from now on.
-  void want(runtime::time_point Now) { WantedSince = Now; }
-  [[nodiscard]] bool wanted() const { return WantedSince.has_value(); }
-  /// A list has arrived that was asked for at this time; tells whether it is the one that was wanted.
-  bool arrived(runtime::time_point AskedAt) {
+  /// Requests a list that is asked for from now on.
+  void request(runtime::time_point Now) { RequestedSince = Now; }
+  [[nodiscard]] bool pending() const { return RequestedSince.has_value(); }
+  /// A list has arrived that was asked for at this time; tells whether it is the one that was requested.
+  bool onList(runtime::time_point AskedAt) {
     ListedAt = AskedAt;
-    if (!WantedSince || AskedAt < *WantedSince)
+    if (!RequestedSince || AskedAt < *RequestedSince)
       return false;
-    WantedSince.reset();
+    RequestedSince.reset();
     return true;
   }
-  void reset() { WantedSince.reset(); }
+  void reset() { RequestedSince.reset(); }
 
   /// Whether the server may have ended and be back since its last list; Wait is how long a list is waited
   /// for.
-  [[nodiscard]] bool mayBeReborn(runtime::time_point Now, runtime::duration Wait) const {
-    return Now - ListedAt > Wait + ShortestRebirth;
+  [[nodiscard]] bool mayHaveRestarted(runtime::time_point Now, runtime::duration Wait) const {
+    return Now - ListedAt > Wait + MinRestartTime;
   }
 
 private:
   // No server ends and is back in less time.
-  static constexpr auto ShortestRebirth = std::chrono::milliseconds(100);
+  static constexpr auto MinRestartTime = std::chrono::milliseconds(100);
 
-  std::optional<runtime::time_point> WantedSince;
+  std::optional<runtime::time_point> RequestedSince;
   // When the last list was asked for.
   runtime::time_point ListedAt{};
 };
--- a/src/yuccaplank/dispatch/run_table.cpp
+++ b/src/yuccaplank/dispatch/run_table.cpp
@@ -19,9 +19,9 @@
   return Sum;
 }
 
-room run_table::freeOf(const schema::task_size &Capacity) const {
-  room Free = roomOf(Capacity);
-  Free.take(used());
+resource_amounts run_table::freeCapacity(const schema::task_size &Capacity) const {
+  resource_amounts Free = toResourceAmounts(Capacity);
+  Free.subtract(used());
   return Free;
 }
 
@@ -62,7 +62,7 @@
   std::set<run_key> Present(Listed.begin(), Listed.end());
   std::vector<run_key> Result;
   for (const auto &[Run, State] : Runs)
-    if (State.SettledAt && *State.SettledAt < Sent && !Present.contains(Run))
+    if (State.ConfirmedAt && *State.ConfirmedAt < Sent && !Present.contains(Run))
       Result.push_back(Run);
   return Result;
 }
--- a/src/yuccaplank/dispatch/run_table.hpp
+++ b/src/yuccaplank/dispatch/run_table.hpp
@@ -1,7 +1,7 @@
 // Runs on one backend server as its owner counts them.
 #pragma once
 
-#include "room.hpp"
+#include "resource_amounts.hpp"
 #include "yuccaplank/dispatch/messages.hpp"
 #include "yuccaplank/runtime/clock.hpp"
 
@@ -35,7 +35,7 @@
   runtime::time_point StartedAt;
   /// When the server had certainly dealt with the run's latest order; a list made after this that lacks the
   /// run proves that it does not run.
-  std::optional<runtime::time_point> SettledAt;
+  std::optional<runtime::time_point> ConfirmedAt;
   /// By this time, on the clock that counts suspension, the run must have ended unless its coordinator is
   /// heard again; least before one is known.
   runtime::time_point AllowedUntil = runtime::time_point::min();
@@ -65,7 +65,7 @@
 
   /// Room that the runs take together.
   [[nodiscard]] schema::task_size used() const;
-  [[nodiscard]] room freeOf(const schema::task_size &Capacity) const;
+  [[nodiscard]] resource_amounts freeCapacity(const schema::task_size &Capacity) const;
   [[nodiscard]] bool containsTask(const task_key &Task) const;
   [[nodiscard]] bool anyUnclaimed() const;
   [[nodiscard]] std::set<std::string> coordinators() const;
--- a/src/yuccaplank/dispatch/server_ledger.cpp
+++ b/src/yuccaplank/dispatch/server_ledger.cpp
@@ -2,9 +2,9 @@
 #include "lease_clock.hpp"
 #include "owner_messages.hpp"
 #include "run_limits.hpp"
+#include "run_list_refresh.hpp"
 #include "run_table.hpp"
 #include "server_health.hpp"
-#include "server_look.hpp"
 #include "yuccaplank/runtime/lifetime.hpp"
 #include "yuccaplank/runtime/log.hpp"
 
@@ -59,7 +59,7 @@
     if (ItsToken < Token) {
       // A server that has taken an earlier claim has forgotten this one.
       if (Ownership == ownership::Owned)
-        lookAgain();
+        requestRunList();
       return;
     }
     HighestToken = std::max(HighestToken, ItsToken);
@@ -67,9 +67,9 @@
     release();
   }
 
-  void lookAgain() override {
-    Look.want(now());
-    Ports.roomChanged(Entry.Target.Id);
+  void requestRunList() override {
+    ListRefresh.request(now());
+    Ports.onCapacityChanged(Entry.Target.Id);
     keepHolding();
   }
 
@@ -77,12 +77,12 @@
     if (Ownership == ownership::None)
       return;
     Ownership = ownership::None;
-    Tenure.renew();
+    OwnershipLifetime.renew();
     yieldRuns();
     Runs.clear();
     HoldPending = false;
-    Look.reset();
-    Ports.roomChanged(Entry.Target.Id);
+    ListRefresh.reset();
+    Ports.onCapacityChanged(Entry.Target.Id);
   }
 
   void update(const server_entry &Updated) override {
@@ -92,21 +92,21 @@
                    Updated.Target.Address != Entry.Target.Address;
     Entry = Updated;
     if (Changed)
-      Ports.roomChanged(Entry.Target.Id);
+      Ports.onCapacityChanged(Entry.Target.Id);
   }
 
   void delist() override {
     if (std::exchange(Delisted, true))
       return;
-    Ports.roomChanged(Entry.Target.Id);
+    Ports.onCapacityChanged(Entry.Target.Id);
   }
 
   [[nodiscard]] bool finished() const override { return Delisted && Runs.empty(); }
 
   void start(const std::string &Coordinator, const schema::start_task &Request) override {
     run_key Run = keyOf(Request.task());
-    if (mayBeForgotten())
-      lookAgain();
+    if (fenceMayBeLost())
+      requestRunList();
     if (const char *Refusal = refusalOf(Request)) {
       refuse(Coordinator, Run, Refusal);
       return;
@@ -125,8 +125,9 @@
     ++Ports.counters().Started;
     // The server refuses the order when it arrives after its coordinator may have given it up.
     start_order Order{Run, Request.specification(), Token, Clock.extend(now(), StartTime)};
-    Ports.orders().start(Entry.Target, std::move(Order),
-                         Tenure.guard([this, Run](const order_reply &Reply) { onStartReply(Run, Reply); }));
+    Ports.orders().start(
+        Entry.Target, std::move(Order),
+        OwnershipLifetime.guard([this, Run](const order_reply &Reply) { onStartReply(Run, Reply); }));
     keepHolding();
   }
 
@@ -155,7 +156,7 @@
       endAdoption();
   }
 
-  bool tellAdoption(const std::string &Coordinator) override {
+  bool resendAdoption(const std::string &Coordinator) override {
     if (Ownership != ownership::Adopting)
       return false;
     Ports.send(Coordinator, Adoption);
@@ -212,25 +213,25 @@
     endLapsedRuns(Now);
     stopOverdueRuns(Now);
     if (Health.quarantineOver(Now))
-      Ports.roomChanged(Entry.Target.Id);
+      Ports.onCapacityChanged(Entry.Target.Id);
   }
 
 private:
   [[nodiscard]] time_point now() const { return Executor.clock().now(); }
 
   void later(duration Delay, std::function<void()> Function) {
-    Executor.after(Delay, Tenure.guard(std::move(Function)));
+    Executor.after(Delay, OwnershipLifetime.guard(std::move(Function)));
   }
 
   [[nodiscard]] bool usable() const {
-    return Ownership == ownership::Owned && !Look.wanted() && !Delisted && !Entry.Draining && Answering &&
-           Health.usable();
+    return Ownership == ownership::Owned && !ListRefresh.pending() && !Delisted && !Entry.Draining &&
+           Answering && Health.usable();
   }
 
   // A VM out of contact may have claimed the server after it was born again.
-  [[nodiscard]] bool mayBeForgotten() const {
+  [[nodiscard]] bool fenceMayBeLost() const {
     duration Wait = Runs.empty() ? duration::zero() : Options.HoldWait;
-    return Ownership == ownership::Owned && Look.mayBeReborn(now(), Wait) && Ports.ownerMissing();
+    return Ownership == ownership::Owned && ListRefresh.mayHaveRestarted(now(), Wait) && Ports.ownerMissing();
   }
 
   const char *refusalOf(const schema::start_task &Request) const {
@@ -238,7 +239,7 @@
       return "server_unusable";
     if (Request.token() != Token)
       return "granted_under_another_token";
-    if (!Runs.freeOf(Entry.Capacity).fits(Request.size()))
+    if (!Runs.freeCapacity(Entry.Capacity).fits(Request.size()))
       return "no_room";
     if (Health.onProbation() && !Runs.empty())
       return "on_probation";
@@ -272,7 +273,7 @@
            {"end", schema::run_event_Name(Event)},
            {"reason", std::string(Reason)}});
     report(Coordinator, Run, Event, Reason);
-    Ports.roomChanged(Entry.Target.Id);
+    Ports.onCapacityChanged(Entry.Target.Id);
   }
 
   [[nodiscard]] time_point sinceBoot() const { return Executor.clock().sinceBoot(); }
@@ -295,7 +296,7 @@
     hold_order Order;
     Order.FencingToken = Token;
     Ports.orders().hold(Entry.Target, Order,
-                        Tenure.guard([this](const hold_reply &Reply) { onClaimReply(Reply); }));
+                        OwnershipLifetime.guard([this](const hold_reply &Reply) { onClaimReply(Reply); }));
   }
 
   void onClaimReply(const hold_reply &Reply) {
@@ -320,8 +321,8 @@
          {"running", static_cast<std::int64_t>(Reply.Running.size())},
          {"ended", static_cast<std::int64_t>(Reply.Ended.size())}});
     Clock.note(now(), Reply.ClockMs);
-    Look.arrived(now());
-    Born = Reply.Born;
+    ListRefresh.onList(now());
+    IncarnationStartMs = Reply.IncarnationStartMs;
     FencedClaims = 0;
     Answering = true;
     Observed = 0;
@@ -341,7 +342,7 @@
       Found.Phase = run_phase::Running;
       Found.StartOpen = false;
       Found.StartedAt = now();
-      Found.SettledAt = now();
+      Found.ConfirmedAt = now();
     }
     Ports.broadcast(Adoption);
     if (Runs.empty()) {
@@ -362,7 +363,7 @@
         stopRun(Run, State, "unclaimed");
       }
     keepHolding();
-    Ports.roomChanged(Entry.Target.Id);
+    Ports.onCapacityChanged(Entry.Target.Id);
   }
 
   void yieldRuns() {
@@ -397,7 +398,7 @@
     server_run &State = *Found;
     if (Reply.Outcome == order_outcome::Accepted) {
       State.StartOpen = false;
-      State.SettledAt = now();
+      State.ConfirmedAt = now();
       if (State.Phase == run_phase::Starting)
         State.Phase = run_phase::Running;
       return;
@@ -431,7 +432,7 @@
       return;
     State.Phase = run_phase::Stopping;
     State.StopReason = Reason;
-    State.SettledAt.reset();
+    State.ConfirmedAt.reset();
     log(log_level::Info, "run_stop",
         {{"run", format(Run)}, {"server", Entry.Target.Id}, {"reason", std::string(Reason)}});
     sendStop(Run);
@@ -439,8 +440,9 @@
 
   void sendStop(const run_key &Run) {
     ++Ports.counters().Stops;
-    Ports.orders().stop(Entry.Target, Run, Token,
-                        Tenure.guard([this, Run](const order_reply &Reply) { onStopReply(Run, Reply); }));
+    Ports.orders().stop(
+        Entry.Target, Run, Token,
+        OwnershipLifetime.guard([this, Run](const order_reply &Reply) { onStopReply(Run, Reply); }));
     keepHolding();
   }
 
@@ -451,7 +453,7 @@
     if (Reply.Outcome == order_outcome::Accepted || Reply.Outcome == order_outcome::Superseded) {
       Found->Phase = run_phase::Voided;
       Found->StartOpen = false;
-      Found->SettledAt = now();
+      Found->ConfirmedAt = now();
       keepHolding();
       return;
     }
@@ -471,7 +473,7 @@
   void keepHolding() {
     if (HoldPending || Ownership != ownership::Owned)
       return;
-    if (Runs.empty() && AcknowledgedEnds >= Observed && !Look.wanted())
+    if (Runs.empty() && AcknowledgedEnds >= Observed && !ListRefresh.pending())
       return;
     hold_order Order;
     Order.FencingToken = Token;
@@ -490,7 +492,7 @@
     HoldPending = true;
     ++Ports.counters().Holds;
     Ports.orders().hold(Entry.Target, Order,
-                        Tenure.guard([this, Sent = now(), Order](const hold_reply &Reply) {
+                        OwnershipLifetime.guard([this, Sent = now(), Order](const hold_reply &Reply) {
                           onHoldReply(Sent, Order, Reply);
                         }));
   }
@@ -512,7 +514,7 @@
     Clock.note(now(), Reply.ClockMs);
     UnansweredHolds = 0;
     setAnswering(true);
-    if (Reply.Born != Born)
+    if (Reply.IncarnationStartMs != IncarnationStartMs)
       onNewIncarnation(Reply);
     else
       AcknowledgedEnds = std::max(AcknowledgedEnds, Order.Observed);
@@ -520,15 +522,15 @@
       onEnd(End);
     endMissingRuns(Sent, Reply.Running);
     stopUnknownRuns(Reply.Running);
-    if (Look.arrived(Sent))
-      Ports.roomChanged(Entry.Target.Id);
+    if (ListRefresh.onList(Sent))
+      Ports.onCapacityChanged(Entry.Target.Id);
     keepHolding();
   }
 
   // The server may have ended and been born again, and has forgotten its fence then.
   void noteNotSent(order_outcome Outcome) {
     if (Outcome == order_outcome::NotSent)
-      Look.want(now());
+      ListRefresh.request(now());
   }
 
   void onHoldFailed(order_outcome Outcome) {
@@ -564,7 +566,7 @@
 
   void setAnswering(bool IsAnswering) {
     if (std::exchange(Answering, IsAnswering) != IsAnswering)
-      Ports.roomChanged(Entry.Target.Id);
+      Ports.onCapacityChanged(Entry.Target.Id);
   }
 
   void onEnd(const listed_end &End) {
@@ -609,10 +611,10 @@
   void onNewIncarnation(const hold_reply &Reply) {
     log(log_level::Warning, "server_reborn",
         {{"server", Entry.Target.Id},
-         {"born", Reply.Born},
+         {"born", Reply.IncarnationStartMs},
          {"runs", static_cast<std::int64_t>(Runs.size())},
          {"running", static_cast<std::int64_t>(Reply.Running.size())}});
-    Born = Reply.Born;
+    IncarnationStartMs = Reply.IncarnationStartMs;
     Observed = 0;
     AcknowledgedEnds = 0;
     for (const auto &[Run, Ordered] : OpenStarts)
@@ -639,7 +641,7 @@
     Unknown.StartOpen = false;
     Unknown.StartedAt = now();
     stopRun(Run, Unknown, "unknown");
-    Ports.roomChanged(Entry.Target.Id);
+    Ports.onCapacityChanged(Entry.Target.Id);
   }
 
   void stopUnknownRuns(const std::vector<run_key> &Running) {
@@ -669,7 +671,7 @@
       if (Health.onFailure(Now))
         logQuarantine("overdue");
       stopRun(Run, State, "overdue");
-      Ports.roomChanged(Entry.Target.Id);
+      Ports.onCapacityChanged(Entry.Target.Id);
     }
   }
 
@@ -690,19 +692,19 @@
   run_table Runs;
   // Starts of late that were never answered and may still be carried out by a new incarnation.
   std::map<run_key, time_point> OpenStarts;
-  std::int64_t Born = 0;
+  std::int64_t IncarnationStartMs = 0;
   std::uint64_t Observed = 0;
   // Ends up to this one are known to be acknowledged at the server.
   std::uint64_t AcknowledgedEnds = 0;
   // When this VM may claim the server again.
   time_point ReclaimAfter{};
   bool HoldPending = false;
-  server_look Look;
+  run_list_refresh ListRefresh;
   std::uint32_t UnansweredHolds = 0;
   bool Answering = true;
   bool Delisted = false;
   // Callbacks of calls made before the server was released are dropped.
-  runtime::lifetime Tenure;
+  runtime::lifetime OwnershipLifetime;
 };
 
 } // namespace
--- a/src/yuccaplank/dispatch/server_ledger_test.cpp
+++ b/src/yuccaplank/dispatch/server_ledger_test.cpp
@@ -1,5 +1,5 @@
 #include "yuccaplank/dispatch/server_ledger.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 
 #include <cppunit/TestAssert.h>
 
@@ -9,7 +9,7 @@
 using namespace yuccaplank::dispatch;
 using std::chrono::milliseconds;
 using testing::section;
-using testing::story;
+using testing::test_case;
 
 namespace {
 
@@ -73,7 +73,7 @@
       Events.push_back(Message.event());
   }
   void broadcast(const schema::dispatch_message &Message) override { Adoptions.push_back(Message.adopt()); }
-  void roomChanged(const std::string &) override {}
+  void onCapacityChanged(const std::string &) override {}
   std::uint64_t fencingToken(std::uint64_t Above) override {
     return LastToken = std::max(LastToken, Above) + 1;
   }
@@ -84,11 +84,11 @@
   }
 
   static hold_reply listed(std::vector<run_key> Running, std::vector<listed_end> Ended = {},
-                           std::int64_t Born = 1) {
+                           std::int64_t IncarnationStartMs = 1) {
     hold_reply Reply;
     Reply.Outcome = order_outcome::Accepted;
     Reply.ClockMs = 1000;
-    Reply.Born = Born;
+    Reply.IncarnationStartMs = IncarnationStartMs;
     Reply.Running = std::move(Running);
     Reply.Ended = std::move(Ended);
     return Reply;
@@ -128,7 +128,7 @@
 };
 
 // Guards against starts beyond the room of a server, which does not guard it itself.
-const story Room("server ledger: room", [] {
+const test_case Room("server ledger: room", [] {
   owner Owner;
   Owner.claim();
   Owner.start(runOf(0));
@@ -151,7 +151,7 @@
 });
 
 // Guards against two runs of one task when a start without an answer is carried out seconds later.
-const story LateStart("server ledger: a start without an answer", [] {
+const test_case LateStart("server ledger: a start without an answer", [] {
   owner Owner;
   Owner.claim();
   Owner.start(runOf(0));
@@ -177,7 +177,7 @@
 });
 
 // Guards against runs that outlive their owner or are retried while they may still run.
-const story Leases("server ledger: a server that does not answer", [] {
+const test_case Leases("server ledger: a server that does not answer", [] {
   owner Owner;
   Owner.claim();
   Owner.start(runOf(0));
@@ -215,7 +215,7 @@
 
 // Guards against runs and late starts for a coordinator that has given this owner up, when either of the two
 // lags: whatever it has not told yet, they end in time.
-const story Coordinators("server ledger: a coordinator that no longer answers", [] {
+const test_case Coordinators("server ledger: a coordinator that no longer answers", [] {
   owner Owner;
   Owner.claim();
   auto Now = [&] { return Owner.Executor->clock().sinceBoot(); };
@@ -258,7 +258,7 @@
 });
 
 // Guards against taking a run for gone whose former owner has given it a longer lease than this one.
-const story FormerLease("server ledger: the lease that a former owner gave", [] {
+const test_case FormerLease("server ledger: the lease that a former owner gave", [] {
   owner Owner;
   Owner.claim({runOf(0)});
   schema::adopt_reply Reply;
@@ -278,7 +278,7 @@
 });
 
 // Guards against a dead owner's runs going on beside their copies, and against losing those that can go on.
-const story TakeOver("server ledger: take-over", [] {
+const test_case TakeOver("server ledger: take-over", [] {
   owner Owner;
   Owner.claim({runOf(0), runOf(1)});
   CPPUNIT_ASSERT_EQUAL(2, Owner.Adoptions.at(0).running_size());
@@ -319,7 +319,7 @@
 
 // Guards against starts beyond a server's room when it was born again, has forgotten the later claim, and the
 // VM with the earlier one has ordered it.
-const story EarlierClaim("server ledger: another VM believed itself to own the server", [] {
+const test_case EarlierClaim("server ledger: another VM believed itself to own the server", [] {
   owner Owner;
   Owner.claim();
   Owner.Ledger->onClaimedElsewhere(Owner.Ledger->token() - 1);
@@ -339,7 +339,7 @@
 });
 
 // Guards against the same while another owner is out of contact and cannot tell.
-const story MissingOwner("server ledger: another VM that may own the server is out of contact", [] {
+const test_case MissingOwner("server ledger: another VM that may own the server is out of contact", [] {
   owner Owner;
   Owner.claim();
   Owner.OwnerMissing = true;
@@ -365,7 +365,7 @@
 });
 
 // Guards against the same where an order could not be sent, so that the server may have ended and begun anew.
-const story NotSent("server ledger: an order that could not be sent", [] {
+const test_case NotSent("server ledger: an order that could not be sent", [] {
   owner Owner;
   Owner.claim();
   Owner.start(runOf(0));
@@ -386,7 +386,7 @@
 
 // Guards against taking a run for gone that a new incarnation has started, and against unknown runs beyond
 // the room.
-const story Reborn("server ledger: a server that was born again", [] {
+const test_case Reborn("server ledger: a server that was born again", [] {
   owner Owner;
   Owner.claim();
   Owner.start(runOf(0));
@@ -410,7 +410,7 @@
 });
 
 // Guards against a server that fails or hangs all its tasks and, being fast at it, gets ever more of them.
-const story Quarantine("server ledger: quarantine", [] {
+const test_case Quarantine("server ledger: quarantine", [] {
   owner Owner;
   Owner.claim();
   for (std::uint32_t Index = 0; Index < 3; ++Index) {
@@ -439,7 +439,7 @@
 });
 
 // Guards against tasks that stand still until their job's deadline.
-const story Overdue("server ledger: a task that stands still", [] {
+const test_case Overdue("server ledger: a task that stands still", [] {
   owner Owner;
   Owner.claim();
   Owner.start(runOf(0));
--- a/src/yuccaplank/dispatch/server_owner.cpp
+++ b/src/yuccaplank/dispatch/server_owner.cpp
@@ -56,7 +56,7 @@
     if (Session != Sessions.end() && Request.session() < Session->second)
       return;
     Handled[Request.placer()][Request.server()].push_back(Request.grant());
-    roomChanged(Request.server());
+    onCapacityChanged(Request.server());
     auto Found = Servers.find(Request.server());
     if (Found == Servers.end() || !Ports.reachable(Coordinator)) {
       refuse(Coordinator, Request);
@@ -79,7 +79,7 @@
     Subscribers.insert(Placer);
     for (auto &[Id, Server] : Servers)
       if (!Server.Ledger->unowned())
-        roomChanged(Id);
+        onCapacityChanged(Id);
   }
 
   void onAdopted(const std::string &Coordinator, const schema::adopt_reply &Reply) override {
@@ -104,10 +104,10 @@
   void onOwnerFound() override {
     for (auto &[Id, Server] : Servers)
       if (Server.Ledger->owned() && Server.Ledger->idle())
-        Server.Ledger->lookAgain();
+        Server.Ledger->requestRunList();
   }
 
-  void tellOwned(const std::string &Vm) override {
+  void announceOwnedServers(const std::string &Vm) override {
     schema::dispatch_message Message;
     for (const auto &[Id, Server] : Servers)
       if (!Server.Ledger->unowned()) {
@@ -182,7 +182,7 @@
   }
 
   // States of one turn are sent together, each server once.
-  void roomChanged(const std::string &Server) override {
+  void onCapacityChanged(const std::string &Server) override {
     Changed.insert(Server);
     if (Changed.size() == 1)
       Executor.post(Lifetime.guard([this] { sendStates(); }));
@@ -221,7 +221,7 @@
     run_key Run = keyOf(Counted.task());
     auto Found = Servers.find(Counted.server());
     server_ledger *Ledger = Found == Servers.end() ? nullptr : Found->second.Ledger.get();
-    if (Ledger && (Ledger->holds(Run) || Ledger->tellAdoption(Coordinator)))
+    if (Ledger && (Ledger->holds(Run) || Ledger->resendAdoption(Coordinator)))
       return;
     schema::dispatch_message Message;
     auto Ended = std::ranges::find_if(
@@ -250,7 +250,7 @@
     std::erase_if(Servers, [this](const auto &Entry) {
       bool Finished = Entry.second.Ledger->finished();
       if (Finished && !Entry.second.Ledger->unowned())
-        roomChanged(Entry.first);
+        onCapacityChanged(Entry.first);
       return Finished;
     });
   }
--- a/src/yuccaplank/entry/burn_recorder_test.cpp
+++ b/src/yuccaplank/entry/burn_recorder_test.cpp
@@ -1,10 +1,10 @@
 #include "burn_recorder.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 
 using namespace std::chrono_literals;
 using namespace yuccaplank;
 using testing::section;
-using testing::story;
+using testing::test_case;
 
 namespace {
 
@@ -15,7 +15,7 @@
 }
 
 // Guards against jobs that are counted in the wrong window or forever.
-const story Windows("burn: sliding windows", [] {
+const test_case Windows("burn: sliding windows", [] {
   runtime::manual_clock Clock;
   auto Recorder = entry::makeBurnRecorder(Clock);
   Recorder->record("proofs", true);
--- a/src/yuccaplank/entry/directory.cpp
+++ b/src/yuccaplank/entry/directory.cpp
@@ -186,7 +186,7 @@
       log(log_level::Warning, "vm_entry_unreadable", {{"vm", Name}});
       return;
     }
-    Vm.noteTerm(Known.Row->Term);
+    Vm.observeTerm(Known.Row->Term);
     Term = std::max(Term, Known.Row->Term);
   }
 
--- a/src/yuccaplank/entry/directory_test.cpp
+++ b/src/yuccaplank/entry/directory_test.cpp
@@ -1,6 +1,6 @@
 #include "directory.hpp"
 #include "yuccaplank/testing/no_orders.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 
 #include <cppunit/TestAssert.h>
 
@@ -14,7 +14,7 @@
 using runtime::result;
 using std::chrono::milliseconds;
 using testing::section;
-using testing::story;
+using testing::test_case;
 
 namespace {
 
@@ -85,10 +85,10 @@
   void disconnect(const std::string &) override {}
   dispatch::server_orders &orders() override { return Orders; }
   void answer(std::uint64_t, const dispatch::job_answer &) override {}
-  void termRaised(std::uint32_t) override {}
-  void serversNeeded(bool Needed) override { Directory->followServers(Needed); }
-  void registrationStale(const std::string &Name) override { Directory->removeStale(Name); }
-  void configurationOffered(const schema::configuration_copy &) override {}
+  void onTermRaised(std::uint32_t) override {}
+  void onServersNeeded(bool Needed) override { Directory->followServers(Needed); }
+  void onStaleRegistration(const std::string &Name) override { Directory->removeStale(Name); }
+  void onConfigurationOffered(const schema::configuration_copy &) override {}
 
   [[nodiscard]] bool contacted(const std::string &Address) const {
     return std::ranges::find(Contacted, Address) != Contacted.end();
@@ -98,7 +98,7 @@
 constexpr const char *Other = R"({"address":"vm2:1","domain":"d1","strength":500,"term":3})";
 
 // Guards against a VM that stays unknown to the others, and against entries of VMs that are gone.
-const story Entries("directory: entries of VMs", [] {
+const test_case Entries("directory: entries of VMs", [] {
   vm Vm;
   Vm.Store.answer(Vm.Store.Reads, {row("vm2", 4, Other), row("vm3", 5, "not readable")}, 5);
   CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Vm.Store.Puts.size());
@@ -127,7 +127,7 @@
 });
 
 // Guards against reads of the servers by VMs that do not need them, whose cost grows with both.
-const story Servers("directory: who reads the servers", [] {
+const test_case Servers("directory: who reads the servers", [] {
   vm Vm;
   CPPUNIT_ASSERT(!Vm.Store.Reads.contains("servers"));
   Vm.Store.answer(Vm.Store.Reads, {row("vm2", 4, Other)}, 5);
--- a/src/yuccaplank/entry/fleet_test.cpp
+++ b/src/yuccaplank/entry/fleet_test.cpp
@@ -3,7 +3,7 @@
 #include "yuccaplank/runtime/log.hpp"
 #include "yuccaplank/standin/site.hpp"
 #include "yuccaplank/testing/sockets.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 
 #include <cppunit/TestAssert.h>
 #include <fmt/format.h>
@@ -20,7 +20,7 @@
 using testing::runFor;
 using testing::runUntil;
 using testing::section;
-using testing::story;
+using testing::test_case;
 
 namespace {
 
@@ -142,13 +142,13 @@
   }
   void assertServes(std::size_t Vm) { CPPUNIT_ASSERT(submit(Vm, makeJob(30)) == caller_outcome::Completed); }
   void assertKept() const {
-    CPPUNIT_ASSERT_EQUAL(std::string(), Site->breaches().empty() ? "" : Site->breaches().front());
+    CPPUNIT_ASSERT_EQUAL(std::string(), Site->violations().empty() ? "" : Site->violations().front());
   }
 };
 
 // Guards against parts that fit together in tests of their own only: settings, store, peers, servers,
 // callers.
-const story Calm("fleet on sockets: a calm day", [] {
+const test_case Calm("fleet on sockets: a calm day", [] {
   fleet Fleet(3);
   Fleet.waitUntilReady();
   if (auto When = section("when jobs are submitted to each VM")) {
@@ -183,7 +183,7 @@
 });
 
 // Guards against a VM that serves under bounds with which a resent job could run twice.
-const story ShortBounds("fleet on sockets: bounds that cannot be kept", [] {
+const test_case ShortBounds("fleet on sockets: bounds that cannot be kept", [] {
   fleet Fleet(0);
   auto Loop = runtime::makeLoop();
   entry::vm_process_options Options;
@@ -195,7 +195,7 @@
 });
 
 // Guards against VMs that stop serving, or go back to older knowledge, when the store is away or forgets.
-const story Store("fleet on sockets: trouble with the store", [] {
+const test_case Store("fleet on sockets: trouble with the store", [] {
   fleet Fleet(2);
   Fleet.waitUntilReady();
   standin::store_service &Store = Fleet.Site->store();
@@ -238,7 +238,7 @@
 });
 
 // Guards against two runs of a task, and against lost jobs, when orders to servers go wrong on the wire.
-const story Servers("fleet on sockets: trouble with the servers", [] {
+const test_case Servers("fleet on sockets: trouble with the servers", [] {
   fleet Fleet(2);
   Fleet.waitUntilReady();
   if (auto Given = section("given orders without an answer, some of them carried out late")) {
--- a/src/yuccaplank/entry/frontend_test.cpp
+++ b/src/yuccaplank/entry/frontend_test.cpp
@@ -1,6 +1,6 @@
 #include "frontend.hpp"
 #include "yuccaplank/testing/no_orders.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 
 #include <cppunit/TestAssert.h>
 
@@ -10,7 +10,7 @@
 using namespace yuccaplank::entry;
 using std::chrono::milliseconds;
 using testing::section;
-using testing::story;
+using testing::test_case;
 
 namespace {
 
@@ -46,10 +46,10 @@
   void answer(std::uint64_t Job, const dispatch::job_answer &Answer) override {
     Frontend->answer(Job, Answer);
   }
-  void termRaised(std::uint32_t) override {}
-  void serversNeeded(bool) override {}
-  void registrationStale(const std::string &) override {}
-  void configurationOffered(const schema::configuration_copy &) override {}
+  void onTermRaised(std::uint32_t) override {}
+  void onServersNeeded(bool) override {}
+  void onStaleRegistration(const std::string &) override {}
+  void onConfigurationOffered(const schema::configuration_copy &) override {}
 
   void configure(std::uint64_t Version = 1) const {
     dispatch::configuration Configuration;
@@ -87,7 +87,7 @@
 const std::string JobPath = "/p/5c0e7a21d94b36f8";
 
 // Guards against requests that are run, lost or answered wrongly although they cannot be served.
-const story Refusals("frontend: refusals", [] {
+const test_case Refusals("frontend: refusals", [] {
   vm Vm;
   if (auto When = section("before there is a configuration, 503 with a time to come back")) {
     auto Token = Vm.request("POST", JobPath, Body);
@@ -113,7 +113,7 @@
 });
 
 // Guards against a second job from one that was sent twice, and against jobs that go on without a caller.
-const story Callers("frontend: callers of one job", [] {
+const test_case Callers("frontend: callers of one job", [] {
   vm Vm;
   Vm.configure();
   auto First = Vm.request("POST", JobPath, Body);
@@ -146,7 +146,7 @@
 });
 
 // Guards against an older configuration that replaces a newer one.
-const story Versions("frontend: configurations", [] {
+const test_case Versions("frontend: configurations", [] {
   vm Vm;
   Vm.configure(5);
   Vm.Entry->setConfiguration({}, "");
--- a/src/yuccaplank/entry/table_watch_test.cpp
+++ b/src/yuccaplank/entry/table_watch_test.cpp
@@ -1,5 +1,5 @@
 #include "table_watch.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 
 #include <cppunit/TestAssert.h>
 #include <fmt/format.h>
@@ -14,7 +14,7 @@
 using runtime::result;
 using std::chrono::milliseconds;
 using testing::section;
-using testing::story;
+using testing::test_case;
 
 namespace {
 
@@ -52,7 +52,7 @@
 }
 
 // Guards against rows that are missed, that come back, or that fall back to an older version.
-const story Watch("table watch", [] {
+const test_case Watch("table watch", [] {
   auto Executor = runtime::makeManualExecutor();
   store Store;
   int Changes = 0;
--- a/src/yuccaplank/entry/vm_process.cpp
+++ b/src/yuccaplank/entry/vm_process.cpp
@@ -112,10 +112,10 @@
   void answer(std::uint64_t Job, const dispatch::job_answer &Answer) override {
     Frontend->answer(Job, Answer);
   }
-  void termRaised(std::uint32_t Term) override { Directory->setTerm(Term); }
-  void serversNeeded(bool Needed) override { Directory->followServers(Needed); }
-  void registrationStale(const std::string &Name) override { Directory->removeStale(Name); }
-  void configurationOffered(const schema::configuration_copy &Copy) override {
+  void onTermRaised(std::uint32_t Term) override { Directory->setTerm(Term); }
+  void onServersNeeded(bool Needed) override { Directory->followServers(Needed); }
+  void onStaleRegistration(const std::string &Name) override { Directory->removeStale(Name); }
+  void onConfigurationOffered(const schema::configuration_copy &Copy) override {
     applyConfiguration(*Vm, Copy.document());
   }
 
--- a/src/yuccaplank/load/load_run.cpp
+++ b/src/yuccaplank/load/load_run.cpp
@@ -65,7 +65,7 @@
   measurements &result() override { return Result; }
 
   [[nodiscard]] int exitStatus() const override {
-    if (!Result.breaches().empty())
+    if (!Result.violations().empty())
       return BreachStatus;
     return CheckErrors == 0 && Result.attempts() > 0 ? 0 : IncompleteStatus;
   }
@@ -150,7 +150,7 @@
     if (End == job_end::Completed && Offered.FirstSent - StartedAt >= fromMs(Options.WarmupSeconds * 1000))
       Result.addCompleted(TookMs, Offered.WorkMs, Stretch * Offered.WorkMs + ObjectiveMs);
     if (Answer.Outcome == caller_outcome::Pending)
-      Result.addBreach(fmt::format("job {:016x} was answered before its end", Id));
+      Result.addViolation(fmt::format("job {:016x} was answered before its end", Id));
     // Only this attempt can have reached an entry VM, so that the job has not run at all.
     if (End == job_end::Refused && Offered.OpenAttempts == 1)
       Refused.push_back(Id);
@@ -216,8 +216,8 @@
       ++CheckErrors;
       return;
     }
-    for (const nlohmann::json &Breach : Summary["breaches"])
-      Result.addBreach(Breach.dump());
+    for (const nlohmann::json &Violation : Summary["breaches"])
+      Result.addViolation(Violation.dump());
   }
 
   void askAboutRefused() {
@@ -227,7 +227,7 @@
         if (!Job.is_object() || !Job.contains("starts") || !Job["starts"].is_number_integer())
           ++CheckErrors;
         else if (Job["starts"].get<std::int64_t>() > 0)
-          Result.addBreach(fmt::format("job {:016x} was refused as not run although it ran", Id));
+          Result.addViolation(fmt::format("job {:016x} was refused as not run although it ran", Id));
       });
     }
   }
--- a/src/yuccaplank/load/load_run.hpp
+++ b/src/yuccaplank/load/load_run.hpp
@@ -23,7 +23,7 @@
   virtual void stopArrivals() = 0;
   /// Complete once OnDone has run.
   virtual measurements &result() = 0;
-  /// 0, 3 on any breach, or 1 when the checks are incomplete or no job was offered.
+  /// 0, 3 on any violation, or 1 when the checks are incomplete or no job was offered.
   [[nodiscard]] virtual int exitStatus() const = 0;
 };
 
--- a/src/yuccaplank/load/load_run_test.cpp
+++ b/src/yuccaplank/load/load_run_test.cpp
@@ -1,6 +1,6 @@
 #include "yuccaplank/load/load_run.hpp"
 #include "yuccaplank/testing/scripted_http_client.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 
 #include <cppunit/TestAssert.h>
 
@@ -10,7 +10,7 @@
 using namespace yuccaplank::load;
 using testing::replyWith;
 using testing::section;
-using testing::story;
+using testing::test_case;
 
 namespace {
 
@@ -46,8 +46,8 @@
   return replyWith(200, R"({"starts":)" + std::to_string(Starts) + "}");
 }
 
-// Guards against a breach that the load tool does not see, which would make every run pass.
-const story Checks("load: checks of promises", [] {
+// Guards against a violation that the load tool does not see, which would make every run pass.
+const test_case Checks("load: checks of promises", [] {
   if (auto Given = section("given answers as promised")) {
     offered_load Load([](const wire::http_call &Call) {
       return Call.Address == "127.0.0.1:9" ? siteReply(Call, 0) : replyWith(200, R"({"state":"completed"})");
@@ -84,7 +84,7 @@
 });
 
 // Guards against a job that is sent again under another id, or too early for the first run to have ended.
-const story Resend("load: lost answers", [] {
+const test_case Resend("load: lost answers", [] {
   offered_load Load([](const wire::http_call &Call) {
     return Call.Address == "127.0.0.1:9" ? siteReply(Call, 0) : testing::lostConnection();
   });
@@ -97,7 +97,7 @@
 });
 
 // Guards against wrong command lines that are run.
-const story Options("load: options", [] {
+const test_case Options("load: options", [] {
   auto Wrong = [](const std::vector<std::string> &Arguments) {
     return std::holds_alternative<load_usage_error>(parseLoadOptions(Arguments, 1));
   };
--- a/src/yuccaplank/load/measurements.cpp
+++ b/src/yuccaplank/load/measurements.cpp
@@ -55,9 +55,9 @@
   InTime += ResponseMs <= ObjectiveMs ? 1 : 0;
 }
 
-void measurements::addBreach(std::string Text) {
-  if (Breaches.size() < KeptBreaches)
-    Breaches.push_back(std::move(Text));
+void measurements::addViolation(std::string Text) {
+  if (Violations.size() < KeptBreaches)
+    Violations.push_back(std::move(Text));
 }
 
 std::string measurements::report() {
@@ -66,7 +66,7 @@
     Lines += figureLine(fmt::format("jobs_{}", EndNames[Index]), static_cast<double>(Ends[Index]), "count");
   Lines += figureLine("jobs_in_time", static_cast<double>(InTime), "count");
   Lines += figureLine("attempts", static_cast<double>(Attempts), "count");
-  Lines += figureLine("breaches", static_cast<double>(Breaches.size()), "count");
+  Lines += figureLine("breaches", static_cast<double>(Violations.size()), "count");
   Lines += percentileLines("latency", ResponsesMs);
   Lines += percentileLines("added", AddedMs);
   return Lines;
--- a/src/yuccaplank/load/measurements.hpp
+++ b/src/yuccaplank/load/measurements.hpp
@@ -27,8 +27,8 @@
   void addCompleted(double ResponseMs, double WorkMs, double ObjectiveMs);
   void addAttempt() { ++Attempts; }
   /// A promise was broken; the first ones are kept.
-  void addBreach(std::string Text);
-  [[nodiscard]] const std::vector<std::string> &breaches() const { return Breaches; }
+  void addViolation(std::string Text);
+  [[nodiscard]] const std::vector<std::string> &violations() const { return Violations; }
   [[nodiscard]] std::uint64_t attempts() const { return Attempts; }
 
   /// JSON lines {"name":…,"value":…,"unit":…}.
@@ -40,7 +40,7 @@
   std::uint64_t InTime = 0;
   std::vector<double> ResponsesMs;
   std::vector<double> AddedMs;
-  std::vector<std::string> Breaches;
+  std::vector<std::string> Violations;
 };
 
 /// One JSON line: {"name":…,"value":…,"unit":…}.
--- a/src/yuccaplank/load/yuccaplank_load_main.cpp
+++ b/src/yuccaplank/load/yuccaplank_load_main.cpp
@@ -32,8 +32,8 @@
   Run->start([&] { Loop->stop(); });
   Loop->run();
   printLines(Run->result().report());
-  for (const std::string &Breach : Run->result().breaches())
-    fmt::print(stderr, "breach: {}\n", Breach);
+  for (const std::string &Violation : Run->result().violations())
+    fmt::print(stderr, "breach: {}\n", Violation);
   return Run->exitStatus();
 }
 
--- a/src/yuccaplank/platform/documents_test.cpp
+++ b/src/yuccaplank/platform/documents_test.cpp
@@ -1,14 +1,14 @@
 #include "base64.hpp"
 #include "yuccaplank/platform/documents.hpp"
 #include "yuccaplank/platform/settings.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 
 #include <cppunit/TestAssert.h>
 
 using namespace yuccaplank;
 using namespace yuccaplank::platform;
 using testing::section;
-using testing::story;
+using testing::test_case;
 
 namespace {
 
@@ -24,7 +24,7 @@
 }
 
 // Guards against a process that starts with half of its settings, and against one that refuses a new field.
-const story SettingsFile("platform settings", [] {
+const test_case SettingsFile("platform settings", [] {
   settings Read;
   if (auto When = section("given all fields and one that is not known")) {
     CPPUNIT_ASSERT(readSettings(Settings, Read).empty());
@@ -50,7 +50,7 @@
 });
 
 // Guards against a configuration or a server entry of another writer that is taken for a valid one.
-const story Documents("platform documents", [] {
+const test_case Documents("platform documents", [] {
   if (auto When = section("given a configuration")) {
     auto Read = decodeConfiguration(R"({"version":7,"routes":[{"name":"r","host":"h","path_prefix":"/p/",
       "service":"s","priority":2,"max_attempts":3,"stretch":1.6,"target_latency_ms":60},
@@ -85,7 +85,7 @@
 });
 
 // Guards against jobs that are run although they cannot be read.
-const story Jobs("platform jobs", [] {
+const test_case Jobs("platform jobs", [] {
   auto Read = decodeJob(R"({"specification":"text","best_effort":true,
     "steps":[{"count":4,"cpu":500,"memory_limit_mb":256,"estimated_ms":900,"after":[0],"gang":true}]})");
   CPPUNIT_ASSERT_EQUAL(4U, Read.value().Steps.at(0).TaskCount);
@@ -102,7 +102,7 @@
 });
 
 // Guards against values of the store that lose their last bytes.
-const story Values("platform values in base64", [] {
+const test_case Values("platform values in base64", [] {
   for (const char *Text : {"", "a", "ab", "abc", "abcd"})
     CPPUNIT_ASSERT(decodeBase64(encodeBase64(Text)) == std::string(Text));
   CPPUNIT_ASSERT(decodeBase64("bm9kZS0x") == std::string("node-1"));
--- a/src/yuccaplank/platform/server_client.cpp
+++ b/src/yuccaplank/platform/server_client.cpp
@@ -213,7 +213,7 @@
   if (!Complete)
     return {};
   if (Body.contains("born") && Body["born"].is_number())
-    Reply.Born = toInteger(Body["born"]).value_or(0);
+    Reply.IncarnationStartMs = toInteger(Body["born"]).value_or(0);
   return Reply;
 }
 
--- a/src/yuccaplank/platform/server_client_test.cpp
+++ b/src/yuccaplank/platform/server_client_test.cpp
@@ -1,5 +1,5 @@
 #include "yuccaplank/platform/server_client.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 
 #include <cppunit/TestAssert.h>
 
@@ -8,7 +8,7 @@
 using namespace yuccaplank;
 using namespace yuccaplank::platform;
 using dispatch::order_outcome;
-using testing::story;
+using testing::test_case;
 
 namespace {
 
@@ -38,7 +38,7 @@
 });
 
 // Guards against an order that may have been carried out and is taken for one that was not.
-const story Orders("platform servers: replies to orders", [] {
+const test_case Orders("platform servers: replies to orders", [] {
   for (const expected_outcome &Expected : Outcomes)
     CPPUNIT_ASSERT(decodeOrderReply(reply(Expected.Status, Expected.Body)).Outcome == Expected.Outcome);
   CPPUNIT_ASSERT(decodeOrderReply(reply(200, R"({"clock_ms":5})")).ClockMs == 5);
@@ -52,11 +52,11 @@
 
 // Guards against a list that cannot be read and is taken for an empty one, after which its runs would count
 // as gone.
-const story Lists("platform servers: lists of runs", [] {
+const test_case Lists("platform servers: lists of runs", [] {
   auto Read = decodeHoldReply(reply(200, R"({"clock_ms":482113,"born":17,
     "running_tasks":[["5c0e7a21d94b36f8.0.0.17",2,"",41,5]],"finished":[[58,"5c0e7a21d94b36f8.0.0.9",1,"lapsed",""]]})"));
   CPPUNIT_ASSERT(Read.Outcome == order_outcome::Accepted);
-  CPPUNIT_ASSERT_EQUAL(std::int64_t{17}, Read.Born);
+  CPPUNIT_ASSERT_EQUAL(std::int64_t{17}, Read.IncarnationStartMs);
   CPPUNIT_ASSERT((Read.Running.at(0) == dispatch::run_key{{0x5c0e7a21d94b36f8, 17}, 2}));
   CPPUNIT_ASSERT_EQUAL(std::uint64_t{58}, Read.Ended.at(0).Number);
   CPPUNIT_ASSERT(Read.Ended.at(0).End == dispatch::run_end::Lapsed);
@@ -68,7 +68,7 @@
 });
 
 // Guards against ends of one task that are taken for another's.
-const story Names("platform servers: names of tasks", [] {
+const test_case Names("platform servers: names of tasks", [] {
   dispatch::task_key Task{0xc0e7a21d94b36f8, 17};
   CPPUNIT_ASSERT_EQUAL(std::string("0c0e7a21d94b36f8.0.0.17"), taskName(Task));
   CPPUNIT_ASSERT(parseTaskName(taskName(Task)) == Task);
--- a/src/yuccaplank/runtime/lifetime_test.cpp
+++ b/src/yuccaplank/runtime/lifetime_test.cpp
@@ -1,17 +1,17 @@
 #include "yuccaplank/runtime/lifetime.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 
 #include <functional>
 #include <optional>
 
 using namespace yuccaplank;
 using testing::section;
-using testing::story;
+using testing::test_case;
 
 namespace {
 
 // Guards against functions that use an object after its end.
-const story Guard("lifetime: guarded functions", [] {
+const test_case Guard("lifetime: guarded functions", [] {
   std::optional<runtime::lifetime> Lifetime(std::in_place);
   int Sum = 0;
   std::function<void(int)> Add = Lifetime->guard([&Sum](int Value) { Sum += Value; });
--- a/src/yuccaplank/runtime/loop_test.cpp
+++ b/src/yuccaplank/runtime/loop_test.cpp
@@ -5,7 +5,7 @@
 
 #include "yuccaplank/runtime/loop.hpp"
 #include "yuccaplank/testing/sockets.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 
 #include <sys/socket.h>
 #include <unistd.h>
@@ -14,7 +14,7 @@
 
 using namespace yuccaplank;
 using testing::runFor;
-using testing::story;
+using testing::test_case;
 
 namespace {
 
@@ -61,7 +61,7 @@
 
 // Guards against an abort of the process: a write that a posted function makes right after a large one, while
 // the peer's buffer is full again, left the socket polled for a write that was over.
-const story Writes("loop: writes of posted functions to a slow reader", [] {
+const test_case Writes("loop: writes of posted functions to a slow reader", [] {
   socket_pair Pair;
   Pair.write(Pair.Large);
   for (int Turn = 0; Turn < 50 && Pair.Written < 2; ++Turn) {
--- a/src/yuccaplank/runtime/manual_executor_test.cpp
+++ b/src/yuccaplank/runtime/manual_executor_test.cpp
@@ -1,5 +1,5 @@
 #include "yuccaplank/runtime/executor.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 
 #include <cppunit/TestAssert.h>
 
@@ -8,12 +8,12 @@
 using namespace std::chrono_literals;
 using namespace yuccaplank::runtime;
 using yuccaplank::testing::section;
-using yuccaplank::testing::story;
+using yuccaplank::testing::test_case;
 
 namespace {
 
 // Guards against timers that run early, late, twice, or after they were cancelled.
-const story Timers("executor: timers", [] {
+const test_case Timers("executor: timers", [] {
   auto Executor = makeManualExecutor();
   std::string Log;
   timer_id Second = Executor->after(20ms, [&] { Log += "b"; });
--- a/src/yuccaplank/scenario/script.cpp
+++ b/src/yuccaplank/scenario/script.cpp
@@ -92,11 +92,11 @@
 }
 
 int luaCheckPromises(lua_State *Lua) {
-  auto Breaches = worldOf(Lua).breaches();
-  if (Breaches.empty())
+  auto Violations = worldOf(Lua).violations();
+  if (Violations.empty())
     return 0;
-  return luaL_error(Lua, "%d breaches, first: %s", static_cast<int>(Breaches.size()),
-                    Breaches.front().c_str());
+  return luaL_error(Lua, "%d breaches, first: %s", static_cast<int>(Violations.size()),
+                    Violations.front().c_str());
 }
 
 // World and time
@@ -127,7 +127,9 @@
 
 // VMs
 
-simulation::vm_life &vmOf(lua_State *Lua, int Index) { return worldOf(Lua).fleet().vm(text(Lua, Index)); }
+simulation::simulated_vm &vmOf(lua_State *Lua, int Index) {
+  return worldOf(Lua).fleet().vm(text(Lua, Index));
+}
 
 int luaStart(lua_State *Lua) {
   worldOf(Lua).fleet().startVm(text(Lua, 1));
@@ -248,14 +250,14 @@
 int luaSubmit(lua_State *Lua) {
   std::string Vm = text(Lua, 1);
   luaL_checktype(Lua, 2, LUA_TTABLE);
-  job_wish Wish;
-  Wish.Queue = textField(Lua, 2, "queue", simulation::QueueName);
-  Wish.Tasks = static_cast<std::uint32_t>(numberField(Lua, 2, "tasks", 1));
-  Wish.Ms = numberField(Lua, 2, "ms", Wish.Ms);
-  Wish.DeclaredMs = numberField(Lua, 2, "declared_ms", 0);
-  Wish.Cores = numberField(Lua, 2, "cores", Wish.Cores);
-  Wish.DeadlineMs = numberField(Lua, 2, "deadline_ms", Wish.DeadlineMs);
-  lua_pushinteger(Lua, static_cast<lua_Integer>(worldOf(Lua).submit(Vm, Wish)));
+  job_spec Spec;
+  Spec.Queue = textField(Lua, 2, "queue", simulation::QueueName);
+  Spec.Tasks = static_cast<std::uint32_t>(numberField(Lua, 2, "tasks", 1));
+  Spec.Ms = numberField(Lua, 2, "ms", Spec.Ms);
+  Spec.DeclaredMs = numberField(Lua, 2, "declared_ms", 0);
+  Spec.Cores = numberField(Lua, 2, "cores", Spec.Cores);
+  Spec.DeadlineMs = numberField(Lua, 2, "deadline_ms", Spec.DeadlineMs);
+  lua_pushinteger(Lua, static_cast<lua_Integer>(worldOf(Lua).submit(Vm, Spec)));
   return 1;
 }
 
--- a/src/yuccaplank/scenario/world.cpp
+++ b/src/yuccaplank/scenario/world.cpp
@@ -7,7 +7,7 @@
 namespace yuccaplank::scenario {
 namespace {
 
-using simulation::vm_life;
+using simulation::simulated_vm;
 
 constexpr double ThousandthsOfCore = 1000;
 // Until all VMs have found each other and claimed their servers.
@@ -58,7 +58,7 @@
 
 std::string world::ownerOf(const std::string &Server) {
   for (std::uint32_t Index = 0; Index < Fleet.layout().Vms; ++Index) {
-    vm_life &Life = Fleet.vm(simulation::simulated_fleet::vmName(Index));
+    simulated_vm &Life = Fleet.vm(simulation::simulated_fleet::vmName(Index));
     if (!Life.Executor.alive())
       continue;
     schema::fleet_report Reported = Life.Vm->report();
@@ -69,18 +69,18 @@
   return {};
 }
 
-std::size_t world::submit(const std::string &Vm, const job_wish &Wish) {
+std::size_t world::submit(const std::string &Vm, const job_spec &Spec) {
   submission_record Record;
   Record.Job = ++LastJob;
-  Record.Queue = Wish.Queue;
+  Record.Queue = Spec.Queue;
   dispatch::job_request &Request = Record.Request;
   Request.Job = Record.Job;
-  Request.TaskCount = Wish.Tasks;
-  Request.TaskSize.set_cpu(static_cast<std::uint32_t>(Wish.Cores * ThousandthsOfCore));
+  Request.TaskCount = Spec.Tasks;
+  Request.TaskSize.set_cpu(static_cast<std::uint32_t>(Spec.Cores * ThousandthsOfCore));
   Request.TaskSize.set_memory_mb(64);
-  Request.EstimateMs = static_cast<std::uint32_t>(Wish.DeclaredMs > 0 ? Wish.DeclaredMs : Wish.Ms);
-  Request.Specification = standin::encodeWork({Request.TaskSize.cpu(), runtime::fromMs(Wish.Ms), false});
-  Request.Deadline = runtime::fromMs(Wish.DeadlineMs);
+  Request.EstimateMs = static_cast<std::uint32_t>(Spec.DeclaredMs > 0 ? Spec.DeclaredMs : Spec.Ms);
+  Request.Specification = standin::encodeWork({Request.TaskSize.cpu(), runtime::fromMs(Spec.Ms), false});
+  Request.Deadline = runtime::fromMs(Spec.DeadlineMs);
   return send(Vm, std::move(Record));
 }
 
@@ -95,7 +95,7 @@
 std::size_t world::send(const std::string &Vm, submission_record Record) {
   Record.Vm = Vm;
   Record.Sent = Executor->clock().now();
-  vm_life &Life = Fleet.vm(Vm);
+  simulated_vm &Life = Fleet.vm(Vm);
   Record.ConnectionLost = !Life.Executor.alive();
   dispatch::job_request Request = Record.Request;
   std::string Queue = Record.Queue;
@@ -109,13 +109,13 @@
 void world::leave(std::size_t Submission) {
   submission_record &Record = Submissions.at(Submission);
   Record.Left = true;
-  vm_life &Life = Fleet.vm(Record.Vm);
+  simulated_vm &Life = Fleet.vm(Record.Vm);
   Life.Executor.guard(
       [&Life, Job = Record.Job] { Life.Vm->jobs().cancel(Job, dispatch::end_reason::CallerLeft); })();
 }
 
 void world::cancel(const std::string &Vm, std::size_t Submission) {
-  vm_life &Life = Fleet.vm(Vm);
+  simulated_vm &Life = Fleet.vm(Vm);
   Life.Executor.guard([&Life, Job = Submissions.at(Submission).Job] { Life.Vm->cancel(Job, [](bool) {}); })();
 }
 
@@ -132,8 +132,8 @@
   return Sum;
 }
 
-std::vector<std::string> world::breaches() const {
-  std::vector<std::string> Result = Breaches;
+std::vector<std::string> world::violations() const {
+  std::vector<std::string> Result = Violations;
   for (const submission_record &Record : Submissions)
     if (!Record.Answered && !Record.ConnectionLost && !Record.Left)
       Result.push_back(fmt::format("job {} has no answer from {}", Record.Job, Record.Vm));
@@ -143,15 +143,15 @@
 void world::onStart(const std::string &Server, const dispatch::run_key &Run) {
   ++Starts[Run.Task.Job];
   if (Fleet.servers().running(Run.Task).size() > 1)
-    Breaches.push_back(fmt::format("two runs of {} at the same time", dispatch::format(Run)));
+    Violations.push_back(fmt::format("two runs of {} at the same time", dispatch::format(Run)));
   if (Fleet.servers().usedCpu(Server) > Fleet.servers().capacityCpu(Server))
-    Breaches.push_back(fmt::format("{} starts on {} beyond its room", dispatch::format(Run), Server));
+    Violations.push_back(fmt::format("{} starts on {} beyond its room", dispatch::format(Run), Server));
   bool MayRun = std::ranges::any_of(Submissions, [&](const submission_record &Record) {
     return Record.Job == Run.Task.Job &&
            !(Record.Answered && Record.Answer.Outcome == dispatch::job_outcome::Refused);
   });
   if (!MayRun)
-    Breaches.push_back(fmt::format("{} starts after its job was refused", dispatch::format(Run)));
+    Violations.push_back(fmt::format("{} starts after its job was refused", dispatch::format(Run)));
 }
 
 void world::onAnswer(const std::string &Vm, std::uint64_t Job, const dispatch::job_answer &Answer) {
@@ -164,7 +164,7 @@
     Record.TookMs = runtime::toMs(Executor->clock().now() - Record.Sent);
     bool OnlySubmission = std::ranges::count(Submissions, Job, &submission_record::Job) == 1;
     if (Answer.Outcome == dispatch::job_outcome::Refused && OnlySubmission && Starts.contains(Job))
-      Breaches.push_back(fmt::format("job {} was refused although it ran", Job));
+      Violations.push_back(fmt::format("job {} was refused although it ran", Job));
   }
 }
 
--- a/src/yuccaplank/scenario/world.hpp
+++ b/src/yuccaplank/scenario/world.hpp
@@ -20,7 +20,7 @@
 };
 
 /// A job as its caller describes it.
-struct job_wish {
+struct job_spec {
   std::string Queue = simulation::QueueName;
   std::uint32_t Tasks = 1;
   double Ms = 100;
@@ -60,7 +60,7 @@
   /// VM that owns a server; empty when none of them does.
   [[nodiscard]] std::string ownerOf(const std::string &Server);
 
-  std::size_t submit(const std::string &Vm, const job_wish &Wish);
+  std::size_t submit(const std::string &Vm, const job_spec &Spec);
   /// The same job once more, as after a lost answer.
   std::size_t resubmit(const std::string &Vm, std::size_t Submission);
   void leave(std::size_t Submission);
@@ -72,8 +72,8 @@
   /// Tasks of the submission's job that run now.
   [[nodiscard]] std::uint32_t running(std::size_t Submission);
 
-  /// Every breach of a promise so far, one line each.
-  [[nodiscard]] std::vector<std::string> breaches() const;
+  /// Every violation of a promise so far, one line each.
+  [[nodiscard]] std::vector<std::string> violations() const;
 
 private:
   std::size_t send(const std::string &Vm, submission_record Record);
@@ -86,7 +86,7 @@
   std::vector<submission_record> Submissions;
   std::map<std::uint64_t, std::uint64_t> Starts;
   std::vector<std::pair<std::string, std::string>> Cuts;
-  std::vector<std::string> Breaches;
+  std::vector<std::string> Violations;
   std::uint64_t LastJob = 0;
 };
 
--- a/src/yuccaplank/simulation/fleet_simulation.cpp
+++ b/src/yuccaplank/simulation/fleet_simulation.cpp
@@ -78,7 +78,7 @@
     Executor->advance(Settle);
     for (const auto &[Id, Job] : Jobs)
       if (Job.CallerWaits && !Job.Answered)
-        breach(fmt::format("job {:016x} has no answer", Id));
+        addViolation(fmt::format("job {:016x} has no answer", Id));
     return Result;
   }
 
@@ -101,9 +101,9 @@
       Result.MessagesByKind[Kind] = static_cast<double>(Count.Messages) / Options.Seconds;
   }
 
-  void breach(std::string Text) {
+  void addViolation(std::string Text) {
     trace(Text);
-    Result.Breaches.push_back(
+    Result.Violations.push_back(
         fmt::format("{:.1f} ms: {}", runtime::toMs(Executor->clock().now().time_since_epoch()), Text));
   }
 
@@ -240,7 +240,7 @@
     Job.Vm = simulated_fleet::vmName(static_cast<std::uint32_t>(Random.next() % Options.Vms));
     std::uint64_t Attempt = ++Job.Attempt;
     Result.Resent += Attempt > 1 ? 1 : 0;
-    vm_life *Life = &Fleet.vm(Job.Vm);
+    simulated_vm *Life = &Fleet.vm(Job.Vm);
     if (!Life->Executor.alive()) {
       Executor->after(fromMs(100), [this, Id] { attempt(Id); });
       return;
@@ -271,7 +271,7 @@
     if (Answer.Outcome == job_outcome::Refused) {
       --Job.OpenAttempts;
       if (Job.OpenAttempts == 0 && Job.EverStarted)
-        breach(fmt::format("job {:016x} was refused as not run although it ran", Id));
+        addViolation(fmt::format("job {:016x} was refused as not run although it ran", Id));
     }
     if (Answer.Outcome == job_outcome::TimedOut) {
       Executor->after(fromMs(CallerDelayMs), [this, Id, Attempt] { onBroken(Id, Attempt); });
@@ -305,7 +305,7 @@
     Job.CallerWaits = false;
     Job.Left = true;
     Job.LeftAt = Executor->clock().now();
-    vm_life &Life = Fleet.vm(Job.Vm);
+    simulated_vm &Life = Fleet.vm(Job.Vm);
     Executor->after(fromMs(CallerDelayMs), Life.Executor.guard([&Life, Id] {
       Life.Vm->jobs().cancel(Id, dispatch::end_reason::CallerLeft);
     }));
@@ -320,14 +320,14 @@
     trace(fmt::format("{} starts {}", Server, dispatch::format(Run)));
     auto Where = Fleet.servers().running(Run.Task);
     if (Where.size() > 1)
-      breach(fmt::format("two runs of {} at the same time, on {}", dispatch::format(Run),
-                         fmt::join(Where, " and ")));
+      addViolation(fmt::format("two runs of {} at the same time, on {}", dispatch::format(Run),
+                               fmt::join(Where, " and ")));
     if (Fleet.servers().usedCpu(Server) > Fleet.servers().capacityCpu(Server))
-      breach(fmt::format("{} is over its capacity", Server));
+      addViolation(fmt::format("{} is over its capacity", Server));
     if (Job.OpenAttempts == 0)
-      breach(fmt::format("{} starts after its job was refused as not run", dispatch::format(Run)));
+      addViolation(fmt::format("{} starts after its job was refused as not run", dispatch::format(Run)));
     if (Job.Left && Executor->clock().now() - Job.LeftAt > fromMs(CancelMs))
-      breach(fmt::format("{} starts after its caller has left", dispatch::format(Run)));
+      addViolation(fmt::format("{} starts after its caller has left", dispatch::format(Run)));
   }
 
   // Faults.
@@ -355,7 +355,7 @@
 
   void endVm(bool Silent) {
     std::string Name = anyVm();
-    vm_life &Life = Fleet.vm(Name);
+    simulated_vm &Life = Fleet.vm(Name);
     if (Life.Executor.alive() && !Life.Paused)
       endVmNamed(Name, Silent);
   }
@@ -376,7 +376,7 @@
 
   void pauseVm() {
     std::string Name = anyVm();
-    vm_life *Life = &Fleet.vm(Name);
+    simulated_vm *Life = &Fleet.vm(Name);
     if (!Life->Executor.alive() || Life->Paused)
       return;
     trace(fmt::format("{} is paused", Name));
@@ -448,7 +448,7 @@
   duration lagTime() { return fromMs(200 + 2800 * Random.uniform() * Random.uniform()); }
   void lagVm() {
     std::string Name = anyVm();
-    vm_life *Life = &Fleet.vm(Name);
+    simulated_vm *Life = &Fleet.vm(Name);
     if (!Life->Executor.alive())
       return;
     vm_lag Lag;
@@ -483,7 +483,7 @@
           [this, Name = simulated_fleet::vmName((First + Index) % Options.Vms)] { drainVm(Name); });
   }
   void drainVm(const std::string &Name) {
-    vm_life *Life = &Fleet.vm(Name);
+    simulated_vm *Life = &Fleet.vm(Name);
     if (!Life->Executor.alive())
       return;
     trace(fmt::format("{} drains", Name));
--- a/src/yuccaplank/simulation/fleet_simulation.hpp
+++ b/src/yuccaplank/simulation/fleet_simulation.hpp
@@ -65,7 +65,7 @@
 
 struct simulation_result {
   /// Broken promises, in the order of time; empty when all were kept.
-  std::vector<std::string> Breaches;
+  std::vector<std::string> Violations;
   std::uint64_t Jobs = 0;
   std::uint64_t Completed = 0;
   std::uint64_t Refused = 0;
--- a/src/yuccaplank/simulation/fleet_simulation_test.cpp
+++ b/src/yuccaplank/simulation/fleet_simulation_test.cpp
@@ -1,6 +1,6 @@
 #include "fleet_simulation.hpp"
 #include "yuccaplank/runtime/log.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 
 #include <cppunit/TestAssert.h>
 #include <fmt/format.h>
@@ -11,7 +11,7 @@
 using simulation::simulateFleet;
 using simulation::simulation_options;
 using testing::section;
-using testing::story;
+using testing::test_case;
 
 namespace {
 
@@ -20,7 +20,7 @@
   auto Result = simulateFleet(Options);
   runtime::setLogLevel(runtime::log_level::Info);
   std::string First =
-      Result.Breaches.empty() ? "" : fmt::format("seed {}: {}", Options.Seed, Result.Breaches.front());
+      Result.Violations.empty() ? "" : fmt::format("seed {}: {}", Options.Seed, Result.Violations.front());
   CPPUNIT_ASSERT_EQUAL(std::string(), First);
 }
 
@@ -54,10 +54,10 @@
 });
 
 // Guards against faults that were found once.
-const story Regressions("fleet simulation: days that broke a promise once", [] {
-  for (const former_breach &Breach : FormerBreaches) {
+const test_case Regressions("fleet simulation: days that broke a promise once", [] {
+  for (const former_breach &Violation : FormerBreaches) {
     simulation_options Options;
-    Options.Seed = Breach.Seed;
+    Options.Seed = Violation.Seed;
     assertKept(Options);
   }
 });
@@ -65,7 +65,7 @@
 // Guards against two runs of a task at a time, starts beyond a server's room, starts after a refusal or a
 // cancel, and jobs without an answer, on days with kills, pauses, cuts, resets, and servers that crash, fail,
 // hang and answer late.
-const story Faults("fleet simulation: promises under faults", [] {
+const test_case Faults("fleet simulation: promises under faults", [] {
   constexpr std::uint64_t Days = 60;
   for (std::uint64_t Seed = 1; Seed <= Days; ++Seed) {
     simulation_options Options;
@@ -76,7 +76,7 @@
 
 // Guards against refusals and late answers while there is room: on a calm day 95 % of the jobs have to be
 // within their objective and at most 0.1 % refused.
-const story Calm("fleet simulation: a calm day", [] {
+const test_case Calm("fleet simulation: a calm day", [] {
   simulation_options Options = siteWithoutFaults(10);
   for (simulation::job_kind &Kind : Options.Kinds)
     Kind.JobsPerSecond *= 0.57;
@@ -92,7 +92,7 @@
 
 // Guards against an order of service that loses more than the load explains. The marks are those of the
 // users' days of that kind: 0.47 of the credit on days with a burst, 0.5 with slow servers.
-const story Load("fleet simulation: bursts and slow servers", [] {
+const test_case Load("fleet simulation: bursts and slow servers", [] {
   simulation_options Options = siteWithoutFaults(12);
   auto CreditShare = [&] {
     runtime::setLogLevel(runtime::log_level::Error);
@@ -132,7 +132,7 @@
 
 // Guards against work of a VM that grows with the fleet: heartbeats between all VMs, and contact that ends
 // and begins again without end.
-const story Growth("fleet simulation: messages of a VM in a large fleet", [] {
+const test_case Growth("fleet simulation: messages of a VM in a large fleet", [] {
   runtime::setLogLevel(runtime::log_level::Error);
   auto Small = simulateFleet(calmFleet(24));
   auto Large = simulateFleet(calmFleet(96));
@@ -172,16 +172,16 @@
 });
 
 // Guards against what is dealt with late, by a VM or a link, being taken for fresh.
-const story Lags("fleet simulation: VMs and links that lag, rolling restarts", [] {
+const test_case Lags("fleet simulation: VMs and links that lag, rolling restarts", [] {
   constexpr std::uint64_t Days = 15;
   simulation_options Relays = laggingFleet(8, 1, 2);
   simulation_options Two = laggingFleet(7, 2, 3);
-  for (const former_breach &Breach : FormerBreachesOfRelays) {
-    Relays.Seed = Breach.Seed;
+  for (const former_breach &Violation : FormerBreachesOfRelays) {
+    Relays.Seed = Violation.Seed;
     assertKept(Relays);
   }
-  for (const former_breach &Breach : FormerBreachesOfTwo) {
-    Two.Seed = Breach.Seed;
+  for (const former_breach &Violation : FormerBreachesOfTwo) {
+    Two.Seed = Violation.Seed;
     assertKept(Two);
   }
   simulation_options Small = laggingFleet(6, 3, 2);
@@ -199,7 +199,7 @@
 });
 
 // Guards against two runs at a time when jobs are passed from VM to VM.
-const story Relays("fleet simulation: most VMs relay", [] {
+const test_case Relays("fleet simulation: most VMs relay", [] {
   simulation_options Options;
   Options.Vms = 7;
   Options.Domains = 2;
--- a/src/yuccaplank/simulation/simulated_fleet.cpp
+++ b/src/yuccaplank/simulation/simulated_fleet.cpp
@@ -13,7 +13,7 @@
 // Of VMs of unequal strength.
 constexpr auto Strengths = std::to_array<std::uint32_t>({90, 250, 500});
 
-network_end makeEnd(vm_life &Life, std::string Incarnation) {
+network_end makeEnd(simulated_vm &Life, std::string Incarnation) {
   network_end End;
   End.Incarnation = std::move(Incarnation);
   End.OnMessage = [&Life](const std::string &From, const std::string &Sender,
@@ -35,25 +35,25 @@
 
 } // namespace
 
-vm_life::vm_life(runtime::executor &Executor, network &Network, simulated_servers &Servers, std::string Name,
-                 answer_function OnAnswer)
+simulated_vm::simulated_vm(runtime::executor &Executor, network &Network, simulated_servers &Servers,
+                           std::string Name, answer_function OnAnswer)
     : Executor(Executor), Network(Network), Name(std::move(Name)),
       Orders(Servers.ordersOf(this->Name, this->Executor)), OnAnswer(std::move(OnAnswer)), Servers(Servers) {}
 
-void vm_life::begin(dispatch::entry_vm_options Options) {
+void simulated_vm::begin(dispatch::entry_vm_options Options) {
   Vm = dispatch::makeEntryVm(Executor, *this, std::move(Options));
 }
 
-void vm_life::send(const std::string &, const std::string &Address, schema::dispatch_message Message) {
+void simulated_vm::send(const std::string &, const std::string &Address, schema::dispatch_message Message) {
   Executor.sendOut([this, Address, Message = std::move(Message)] { Network.send(Name, Address, Message); });
 }
 
-void vm_life::serversNeeded(bool Needed) {
+void simulated_vm::onServersNeeded(bool Needed) {
   Vm->setServers(Needed ? Servers.entries() : std::vector<dispatch::server_entry>());
 }
 
 // The document of a simulated configuration is its version.
-void vm_life::configurationOffered(const schema::configuration_copy &Copy) {
+void simulated_vm::onConfigurationOffered(const schema::configuration_copy &Copy) {
   dispatch::configuration Configuration = *Vm->current();
   Configuration.Version = Copy.version();
   Vm->setConfiguration(Configuration, Copy.document());
@@ -106,10 +106,10 @@
   auto &Slot = Vms[Name];
   if (Slot)
     Ended.push_back(std::move(Slot));
-  Slot = std::make_unique<vm_life>(
+  Slot = std::make_unique<simulated_vm>(
       Executor, Net, Servers, Name,
       [this, Name](std::uint64_t Job, const dispatch::job_answer &Answer) { OnAnswer(Name, Job, Answer); });
-  vm_life &Life = *Slot;
+  simulated_vm &Life = *Slot;
   dispatch::entry_vm_options VmOptions;
   VmOptions.Vm = Name;
   VmOptions.Address = Name;
@@ -123,7 +123,7 @@
   registerVm(Life, LastRegistration);
 }
 
-void simulated_fleet::configure(vm_life &Life, std::uint64_t Version) const {
+void simulated_fleet::configure(simulated_vm &Life, std::uint64_t Version) const {
   dispatch::configuration Configuration;
   Configuration.Version = Version;
   Configuration.Queues.push_back(makeQueue(QueueName, 0));
@@ -132,7 +132,7 @@
   Life.Vm->setConfiguration(Configuration, fmt::format("{}", Version));
 }
 
-void simulated_fleet::registerVm(vm_life &Life, std::uint64_t Registration) const {
+void simulated_fleet::registerVm(simulated_vm &Life, std::uint64_t Registration) const {
   configure(Life, 1);
   dispatch::registered_vms Others;
   for (std::uint32_t Index = 0; Index < Layout.Vms; ++Index)
@@ -152,13 +152,13 @@
 }
 
 void simulated_fleet::pauseVm(const std::string &Name) {
-  vm_life &Life = vm(Name);
+  simulated_vm &Life = vm(Name);
   Life.Paused = true;
   Life.Executor.pause();
 }
 
 void simulated_fleet::resumeVm(const std::string &Name) {
-  vm_life &Life = vm(Name);
+  simulated_vm &Life = vm(Name);
   Life.Paused = false;
   Life.Executor.resume([&Life](runtime::duration Pause) {
     if (Pause > PauseLimit)
@@ -193,7 +193,7 @@
 
 void simulated_fleet::resetConnection(const std::string &One, const std::string &Other) {
   Net.disconnect(One, Other);
-  vm_life &Life = vm(One);
+  simulated_vm &Life = vm(One);
   Executor.after(runtime::fromMs(1), Life.Executor.guard([&Life, Other] { Life.Vm->onClosed(Other); }));
 }
 
--- a/src/yuccaplank/simulation/simulated_fleet.hpp
+++ b/src/yuccaplank/simulation/simulated_fleet.hpp
@@ -19,12 +19,12 @@
 inline constexpr const char *QueueName = "queue";
 
 /// Process of a VM; a new one for each start.
-class vm_life final : public dispatch::entry_vm_ports {
+class simulated_vm final : public dispatch::entry_vm_ports {
 public:
   using answer_function = std::function<void(std::uint64_t Job, const dispatch::job_answer &Answer)>;
 
-  vm_life(runtime::executor &Executor, network &Network, simulated_servers &Servers, std::string Name,
-          answer_function OnAnswer);
+  simulated_vm(runtime::executor &Executor, network &Network, simulated_servers &Servers, std::string Name,
+               answer_function OnAnswer);
   void begin(dispatch::entry_vm_options Options);
 
   void send(const std::string &Vm, const std::string &Address, schema::dispatch_message Message) override;
@@ -35,10 +35,10 @@
   void answer(std::uint64_t Job, const dispatch::job_answer &Answer) override {
     Executor.sendOut([this, Job, Answer] { OnAnswer(Job, Answer); });
   }
-  void termRaised(std::uint32_t) override {}
-  void serversNeeded(bool Needed) override;
-  void registrationStale(const std::string &) override {}
-  void configurationOffered(const schema::configuration_copy &Copy) override;
+  void onTermRaised(std::uint32_t) override {}
+  void onServersNeeded(bool Needed) override;
+  void onStaleRegistration(const std::string &) override {}
+  void onConfigurationOffered(const schema::configuration_copy &Copy) override;
 
   vm_executor Executor;
   network &Network;
@@ -95,16 +95,16 @@
                   const std::function<void(const std::string &From, const std::string &To)> &Cut) const;
   void resetConnection(const std::string &One, const std::string &Other);
   /// Puts a configuration into force on one VM, as if read from the store.
-  void configure(vm_life &Life, std::uint64_t Version) const;
+  void configure(simulated_vm &Life, std::uint64_t Version) const;
 
-  vm_life &vm(const std::string &Name) { return *Vms.at(Name); }
+  simulated_vm &vm(const std::string &Name) { return *Vms.at(Name); }
   [[nodiscard]] const fleet_layout &layout() const { return Layout; }
   network &net() { return Net; }
   simulated_servers &servers() { return Servers; }
 
 private:
   void addServers();
-  void registerVm(vm_life &Life, std::uint64_t Registration) const;
+  void registerVm(simulated_vm &Life, std::uint64_t Registration) const;
 
   runtime::executor &Executor;
   runtime::random &Random;
@@ -112,9 +112,9 @@
   network Net;
   simulated_servers Servers;
   answer_function OnAnswer;
-  std::map<std::string, std::unique_ptr<vm_life>> Vms;
+  std::map<std::string, std::unique_ptr<simulated_vm>> Vms;
   // Processes that have ended; what they had under way refers to them.
-  std::vector<std::unique_ptr<vm_life>> Ended;
+  std::vector<std::unique_ptr<simulated_vm>> Ended;
   std::uint64_t LastRegistration = 0;
 };
 
--- a/src/yuccaplank/simulation/simulated_servers.cpp
+++ b/src/yuccaplank/simulation/simulated_servers.cpp
@@ -158,8 +158,9 @@
     return;
   standin::task_server_options StateOptions;
   StateOptions.ClockRate = Server.ClockRate;
-  auto Born = static_cast<std::int64_t>(runtime::toMs(Executor.clock().now().time_since_epoch())) + 1;
-  Server.State = std::make_unique<standin::task_server>(Born, StateOptions);
+  auto IncarnationStartMs =
+      static_cast<std::int64_t>(runtime::toMs(Executor.clock().now().time_since_epoch())) + 1;
+  Server.State = std::make_unique<standin::task_server>(IncarnationStartMs, StateOptions);
 }
 
 void simulated_servers::setCut(const std::string &Name, bool IsCut) { Servers.at(Name).Cut = IsCut; }
--- a/src/yuccaplank/simulation/yuccaplank_simulate_main.cpp
+++ b/src/yuccaplank/simulation/yuccaplank_simulate_main.cpp
@@ -66,8 +66,8 @@
   std::uint64_t Broken = 0;
   for (std::uint64_t Index = 0; Index < Days; ++Index, ++Day.Seed) {
     auto Result = simulation::simulateFleet(Day);
-    for (const std::string &Breach : Result.Breaches)
-      fmt::print("seed {}: {}\n", Day.Seed, Breach);
+    for (const std::string &Violation : Result.Violations)
+      fmt::print("seed {}: {}\n", Day.Seed, Violation);
     if (Day.CountMessages) {
       fmt::print("seed {}: a VM sends {:.0f} messages/s, at most {:.0f} messages/s and {:.0f} bytes/s; of "
                  "the fleet:",
@@ -76,7 +76,7 @@
         fmt::print(" {} {:.0f}", Kind, PerSecond);
       fmt::print("\n");
     }
-    Broken += Result.Breaches.empty() ? 0 : 1;
+    Broken += Result.Violations.empty() ? 0 : 1;
     for (const auto &[Queue, Credit] : Result.Credit) {
       auto &Total = Sum.Credit[Queue];
       Total.Earned += Credit.Earned;
--- a/src/yuccaplank/standin/site.cpp
+++ b/src/yuccaplank/standin/site.cpp
@@ -72,7 +72,7 @@
   [[nodiscard]] std::uint16_t controlPort() const override { return Control->port(); }
   worker &workerAt(std::size_t Index) override { return *Workers.at(Index).Worker; }
   [[nodiscard]] std::uint64_t starts() const override { return Starts; }
-  [[nodiscard]] const std::vector<std::string> &breaches() const override { return Breaches; }
+  [[nodiscard]] const std::vector<std::string> &violations() const override { return Violations; }
 
   void configure(std::uint64_t Version) override {
     json Route{{"name", "jobs"}, {"host", SiteHost},  {"path_prefix", SitePath}, {"service", Options.Pool},
@@ -113,10 +113,10 @@
     const worker_options &Where = Worker.Worker->options();
     for (const site_worker &Other : Workers)
       if (&Other != &Worker && Other.Worker->runs(Run.Task))
-        Breaches.push_back(fmt::format("{} starts on {} while a run of the task is on {}",
-                                       dispatch::format(Run), Where.Id, Other.Worker->options().Id));
+        Violations.push_back(fmt::format("{} starts on {} while a run of the task is on {}",
+                                         dispatch::format(Run), Where.Id, Other.Worker->options().Id));
     if (Worker.Worker->usedCpu() > Where.Cpu)
-      Breaches.push_back(fmt::format("{} starts on {} beyond its room", dispatch::format(Run), Where.Id));
+      Violations.push_back(fmt::format("{} starts on {} beyond its room", dispatch::format(Run), Where.Id));
   }
 
   // Entries of the workers.
@@ -262,7 +262,7 @@
 
   http_reply summary(const http_request & /*Request*/) {
     return jsonReply(200, {{"starts", Starts},
-                           {"breaches", Breaches},
+                           {"breaches", Violations},
                            {"store_reads", Store->counters().Reads},
                            {"store_writes", Store->counters().Writes},
                            {"store_rejected", Store->counters().Rejected}});
@@ -289,7 +289,7 @@
   std::unique_ptr<wire::http_server> Control;
   std::uint64_t Starts = 0;
   std::unordered_map<std::uint64_t, std::uint64_t> StartsOfJobs;
-  std::vector<std::string> Breaches;
+  std::vector<std::string> Violations;
   runtime::lifetime Lifetime;
 };
 
--- a/src/yuccaplank/standin/site.hpp
+++ b/src/yuccaplank/standin/site.hpp
@@ -39,7 +39,7 @@
   /// Start orders carried out.
   [[nodiscard]] virtual std::uint64_t starts() const = 0;
   /// Two runs of a task at a time, and starts beyond a worker's room; one line each.
-  [[nodiscard]] virtual const std::vector<std::string> &breaches() const = 0;
+  [[nodiscard]] virtual const std::vector<std::string> &violations() const = 0;
 };
 
 inline constexpr const char *SiteHost = "jobs.example";
--- a/src/yuccaplank/standin/task_server.cpp
+++ b/src/yuccaplank/standin/task_server.cpp
@@ -84,7 +84,7 @@
   advance(Now);
   dispatch::hold_reply Reply;
   Reply.ClockMs = clockMs(Now);
-  Reply.Born = Born;
+  Reply.IncarnationStartMs = IncarnationStartMs;
   if (fenced(Order.FencingToken)) {
     Reply.Outcome = order_outcome::Fenced;
     return Reply;
--- a/src/yuccaplank/standin/task_server.hpp
+++ b/src/yuccaplank/standin/task_server.hpp
@@ -36,7 +36,8 @@
 /// One incarnation of a server. Time comes with each call and never goes back.
 class task_server {
 public:
-  task_server(std::int64_t Born, task_server_options Options) : Born(Born), Options(Options) {}
+  task_server(std::int64_t IncarnationStartMs, task_server_options Options)
+      : IncarnationStartMs(IncarnationStartMs), Options(Options) {}
 
   /// Carries out a start; Accepted also when the run is already there.
   dispatch::order_outcome start(runtime::time_point Now, const dispatch::start_order &Order,
@@ -55,7 +56,7 @@
   [[nodiscard]] std::int64_t clockMs(runtime::time_point Now) const;
   [[nodiscard]] std::uint32_t usedCpu() const;
   [[nodiscard]] std::vector<dispatch::run_key> running() const;
-  [[nodiscard]] std::int64_t born() const { return Born; }
+  [[nodiscard]] std::int64_t incarnationStartMs() const { return IncarnationStartMs; }
 
 private:
   struct running_task {
@@ -70,7 +71,7 @@
   void end(std::map<dispatch::task_key, running_task>::iterator Task, dispatch::run_end End);
   [[nodiscard]] runtime::time_point fromClock(std::int64_t ClockMs) const;
 
-  std::int64_t Born;
+  std::int64_t IncarnationStartMs;
   task_server_options Options;
   std::uint64_t HighestToken = 0;
   runtime::time_point LeaseEnd{};
--- a/src/yuccaplank/standin/worker.cpp
+++ b/src/yuccaplank/standin/worker.cpp
@@ -115,7 +115,7 @@
                {"zone", Options.Domain},
                {"state", Draining ? "draining" : "ready"},
                {"sequence", Sequence},
-               {"born", State ? State->born() : 0},
+               {"born", State ? State->incarnationStartMs() : 0},
                {"labels", {"a", Options.Rack}},
                {"capacity", {{"cpu", Options.Cpu}, {"memory_limit_mb", Options.MemoryMb}, {"gpu", 0}}}};
     return Entry.dump();
@@ -270,7 +270,7 @@
   }
 
   void replyHold(wire::request_token Token, const dispatch::hold_reply &Reply) {
-    json Body{{"clock_ms", State->clockMs(now())}, {"born", Reply.Born}};
+    json Body{{"clock_ms", State->clockMs(now())}, {"born", Reply.IncarnationStartMs}};
     if (Reply.Outcome != order_outcome::Accepted) {
       Body["reason"] = reasonOf(Reply.Outcome);
       return reply(Token, jsonReply(Conflict, Body));
--- a/src/yuccaplank/testing/story.cpp
+++ b/src/yuccaplank/testing/test_case.cpp
@@ -1,4 +1,4 @@
-#include "story.hpp"
+#include "test_case.hpp"
 
 #include <cppunit/Exception.h>
 #include <cppunit/TestCase.h>
@@ -13,8 +13,8 @@
 namespace yuccaplank::testing {
 namespace {
 
-// Progress of one story through its sections. A section is done when it was entered and no section within it
-// is left. In each run one path from the outermost to an innermost section is entered.
+// Progress of one test case through its sections. A section is done when it was entered and no section within
+// it is left. In each run one path from the outermost to an innermost section is entered.
 struct story_progress {
   std::set<std::string> Done;
   std::vector<std::string> Path;
@@ -78,7 +78,7 @@
 
 } // namespace
 
-story::story(std::string Name, std::function<void()> Body) {
+test_case::test_case(std::string Name, std::function<void()> Body) {
   // The registry does not own its factories.
   static std::vector<std::unique_ptr<story_factory>> Factories;
   Factories.push_back(std::make_unique<story_factory>(std::move(Name), std::move(Body)));
--- a/src/yuccaplank/testing/story.hpp
+++ b/src/yuccaplank/testing/test_case.hpp
@@ -12,19 +12,19 @@
 /// A test. Its body runs once for every innermost section, each time from the start, so that sections do not
 /// share state:
 ///
-///     const story Retention("job table: retention", [] {
+///     const test_case Retention("job table: retention", [] {
 ///       auto Table = …;
 ///       if (auto Given = section("given a finished job")) {
 ///         if (auto When = section("when it is submitted again")) { … CPPUNIT_ASSERT_EQUAL(…); }
 ///         if (auto When = section("when its retention has passed")) { … }
 ///       }
 ///     });
-class story {
+class test_case {
 public:
-  story(std::string Name, std::function<void()> Body);
+  test_case(std::string Name, std::function<void()> Body);
 };
 
-/// A step of the running story. It is entered when its turn has come.
+/// A step of the running test case. It is entered when its turn has come.
 class section {
 public:
   explicit section(std::string_view Name);
--- a/src/yuccaplank/wire/fuzz/corpus_test.cpp
+++ b/src/yuccaplank/wire/fuzz/corpus_test.cpp
@@ -1,16 +1,16 @@
 #include "yuccaplank/testing/corpus.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 #include "yuccaplank/wire/fuzz/fuzz_targets.hpp"
 
 using namespace yuccaplank;
 using testing::fuzzCorpus;
 using testing::section;
-using testing::story;
+using testing::test_case;
 
 namespace {
 
 // Guards against documents that crash the readers, or that are accepted and then change.
-const story Fuzz("fuzz: corpora and mutations", [] {
+const test_case Fuzz("fuzz: corpora and mutations", [] {
   if (auto When = section("settings"))
     fuzzCorpus("settings", wire::fuzzSettings);
   if (auto When = section("job"))
--- a/src/yuccaplank/wire/fuzz/peer_reader_test.cpp
+++ b/src/yuccaplank/wire/fuzz/peer_reader_test.cpp
@@ -1,6 +1,6 @@
 #include "peer_reader.hpp"
 #include "yuccaplank/runtime/random.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 
 #include <cppunit/TestAssert.h>
 
@@ -13,7 +13,7 @@
 
 using namespace yuccaplank;
 using yuccaplank::testing::section;
-using yuccaplank::testing::story;
+using yuccaplank::testing::test_case;
 
 namespace {
 
@@ -96,7 +96,7 @@
 };
 
 // Guards against bytes of a peer that crash the reader or get past authentication.
-const story PeerReader("fuzz: peer reader", [] {
+const test_case PeerReader("fuzz: peer reader", [] {
   auto Corpus = readCorpus();
   CPPUNIT_ASSERT(Corpus.size() >= 10);
   if (auto Given = section("given the corpus"))
--- a/src/yuccaplank/wire/http_client_test.cpp
+++ b/src/yuccaplank/wire/http_client_test.cpp
@@ -1,5 +1,5 @@
 #include "yuccaplank/testing/sockets.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 #include "yuccaplank/wire/http_client.hpp"
 
 #include <cppunit/TestAssert.h>
@@ -61,7 +61,7 @@
 }
 
 // Guards against altered requests and answers.
-const story Exchange("http client: exchange", [] {
+const test_case Exchange("http client: exchange", [] {
   std::string Seen;
   scripted_server Server({[&](raw_socket &Socket) {
     Seen = Socket.receiveMessage();
@@ -86,7 +86,7 @@
 });
 
 // Guards against connections that are not reused.
-const story Pool("http client: pooled connections", [] {
+const test_case Pool("http client: pooled connections", [] {
   http_client_options Options;
   // Longer than the calls of a section take on a busy machine, where 200 ms were over between the first and
   // the third.
@@ -120,7 +120,7 @@
 });
 
 // Guards against connections that are reused too late or kept for ever.
-const story Idle("http client: idle connections", [] {
+const test_case Idle("http client: idle connections", [] {
   http_client_options Options;
   Options.IdleTimeout = 200ms;
   scripted_server Server({answerAll, answerAll, answerAll, answerAll});
@@ -138,7 +138,7 @@
 });
 
 // Guards against use of a pool that was freed because its address was not used for long.
-const story Retention("http client: retention of pools", [] {
+const test_case Retention("http client: retention of pools", [] {
   http_client_options Options;
   Options.IdleTimeout = 20ms;
   Options.ConnectTimeout = 100ms;
@@ -153,7 +153,7 @@
 
 // Guards against a loop that waits for an event although a write made by a posted function has completed;
 // each call then took the 100 ms that the loop waits at most.
-const story Latency("http client: calls from posted functions", [] {
+const test_case Latency("http client: calls from posted functions", [] {
   constexpr int Calls = 200;
   scripted_server Server({answerAll});
   call_site Site;
@@ -174,7 +174,7 @@
 });
 
 // Guards against a connection that is counted for ever after its exchange failed.
-const story Failures("http client: failures", [] {
+const test_case Failures("http client: failures", [] {
   scripted_server Server({stall});
   call_site Site;
   http_call Call = get(Server);
@@ -210,7 +210,7 @@
 });
 
 // Guards against replies that exhaust the memory, whatever way their length is given.
-const story LargeReplies("http client: reply size", [] {
+const test_case LargeReplies("http client: reply size", [] {
   constexpr std::size_t Limit = 100'000;
   http_client_options Options;
   Options.MaxReplyBytes = Limit;
@@ -235,7 +235,7 @@
 });
 
 // Guards against use of a client that its own callback has destroyed.
-const story Destruction("http client: destruction", [] {
+const test_case Destruction("http client: destruction", [] {
   scripted_server Server({answerAll, answerAll});
   call_site Site;
   int Calls = 0;
--- a/src/yuccaplank/wire/http_server_test.cpp
+++ b/src/yuccaplank/wire/http_server_test.cpp
@@ -1,5 +1,5 @@
 #include "yuccaplank/testing/sockets.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 #include "yuccaplank/wire/http_server.hpp"
 
 #include <cppunit/TestAssert.h>
@@ -84,7 +84,7 @@
 }
 
 // Guards against altered requests and replies, and against replies that only work from within the handler.
-const story Exchange("http server: exchange", [] {
+const test_case Exchange("http server: exchange", [] {
   server_site Site;
   raw_socket Client = Site.request();
   if (auto When = section("when a request arrives")) {
@@ -124,7 +124,7 @@
 });
 
 // Guards against work for callers that have gone, and against replies to freed requests.
-const story Gone("http server: callers that have gone", [] {
+const test_case Gone("http server: callers that have gone", [] {
   server_site Site;
   raw_socket Client = Site.request();
   request_token Token = Site.Requests[0].Token;
@@ -151,7 +151,7 @@
 });
 
 // Guards against callers that exhaust connections or memory.
-const story Limits("http server: limits", [] {
+const test_case Limits("http server: limits", [] {
   http_server_options Options;
   Options.MaxBodyBytes = 100;
   Options.MaxConnections = 2;
@@ -195,7 +195,7 @@
 });
 
 // Guards against connections that are held by sending slowly.
-const story Slow("http server: slow requests", [] {
+const test_case Slow("http server: slow requests", [] {
   http_server_options Options;
   Options.RequestTimeout = 200ms;
   server_site Site(Options);
@@ -229,7 +229,7 @@
 });
 
 // Guards against a shutdown that loses requests in progress or leaves connections behind.
-const story Shutdown("http server: shutdown", [] {
+const test_case Shutdown("http server: shutdown", [] {
   server_site Site;
   raw_socket Idle = connectTo(Site.Server->port());
   raw_socket Client = Site.request();
@@ -276,7 +276,7 @@
 }
 
 // Guards against HTTP/2 requests without reply, and against callers on it that vanish unnoticed.
-const story Http2("http server: HTTP/2", [] {
+const test_case Http2("http server: HTTP/2", [] {
   server_site Site;
   raw_socket Client = Site.request(http2Request());
   CPPUNIT_ASSERT_EQUAL(std::string("/"), Site.Requests[0].Path);
--- a/src/yuccaplank/wire/peer_link_test.cpp
+++ b/src/yuccaplank/wire/peer_link_test.cpp
@@ -1,6 +1,6 @@
 #include "peer_protocol.hpp"
 #include "yuccaplank/testing/sockets.hpp"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 #include "yuccaplank/wire/peer_link.hpp"
 
 #include <arpa/inet.h>
@@ -20,7 +20,7 @@
 using yuccaplank::testing::runFor;
 using yuccaplank::testing::runUntil;
 using yuccaplank::testing::section;
-using yuccaplank::testing::story;
+using yuccaplank::testing::test_case;
 
 namespace {
 
@@ -83,7 +83,7 @@
 
 // Guards against lost, repeated, reordered and damaged envelopes, and against messages attributed to the
 // wrong incarnation.
-const story Delivery("peer link: delivery", [] {
+const test_case Delivery("peer link: delivery", [] {
   auto Loop = runtime::makeLoop();
   test_vm First(*Loop, makeOptions("vm1"));
   test_vm Second(*Loop, makeOptions("vm2", 77));
@@ -131,7 +131,7 @@
 
 // Guards against a new VM that cannot reach seeds, of which it knows only the addresses, and against answers
 // that find no way back to it.
-const story Seeds("peer link: unknown ids and addresses", [] {
+const test_case Seeds("peer link: unknown ids and addresses", [] {
   auto Loop = runtime::makeLoop();
   test_vm First(*Loop, makeOptions("vm1"));
   test_vm Second(*Loop, makeOptions("vm2"));
@@ -158,7 +158,7 @@
 });
 
 // Guards against a sender that waits for ever, or takes a dead incarnation for its successor.
-const story Endings("peer link: ends of connections", [] {
+const test_case Endings("peer link: ends of connections", [] {
   auto Loop = runtime::makeLoop();
   test_vm First(*Loop, makeOptions("vm1"));
   auto Second = std::make_unique<test_vm>(*Loop, makeOptions("vm2", 10));
@@ -217,7 +217,7 @@
 });
 
 // Guards against envelopes accepted from, or sent to, peers that do not know the key.
-const story Authentication("peer link: authentication", [] {
+const test_case Authentication("peer link: authentication", [] {
   auto Loop = runtime::makeLoop();
   test_vm First(*Loop, makeOptions("vm1"));
   if (auto Given = section("given a peer with another key")) {
@@ -260,7 +260,7 @@
 }
 
 // Guards against strangers that crash a VM, hold its connections, or take its memory.
-const story Strangers("peer link: strangers", [] {
+const test_case Strangers("peer link: strangers", [] {
   auto Loop = runtime::makeLoop();
   auto Options = makeOptions("vm1");
   Options.ConnectTimeout = 100ms;
@@ -277,7 +277,7 @@
 });
 
 // Guards against idle strangers that take all connections of a VM.
-const story Crowds("peer link: crowd of strangers", [] {
+const test_case Crowds("peer link: crowd of strangers", [] {
   auto Loop = runtime::makeLoop();
   auto Options = makeOptions("vm1");
   Options.ConnectTimeout = 10min;
@@ -302,7 +302,7 @@
 });
 
 // Guards against a queue that grows without bound while a peer does not read.
-const story Bounds("peer link: bounds", [] {
+const test_case Bounds("peer link: bounds", [] {
   auto Loop = runtime::makeLoop();
   auto Options = makeOptions("vm1");
   Options.MaxEnvelopeBytes = 10'000;
@@ -346,7 +346,7 @@
 }
 
 // Guards against every way past the handshake that does not need the key.
-const story Handshake("peer protocol: handshake", [] {
+const test_case Handshake("peer protocol: handshake", [] {
   auto Client = makeProtocol(peer_role::Client, "vm1", 'c');
   auto Server = makeProtocol(peer_role::Server, "vm2", 's');
   auto Rejected = [](peer_protocol &Protocol, const std::string &Bytes) {
--- a/src/yuccaplank/wire/settings_reader_test.cpp
+++ b/src/yuccaplank/wire/settings_reader_test.cpp
@@ -3,7 +3,7 @@
 #include "job.pb.h"
 #include "report.pb.h"
 #include "settings.pb.h"
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 #include "yuccaplank/wire/document_writer.hpp"
 
 #include <fmt/format.h>
@@ -13,7 +13,7 @@
 using namespace yuccaplank;
 using runtime::errc;
 using testing::section;
-using testing::story;
+using testing::test_case;
 
 namespace {
 
@@ -23,7 +23,7 @@
 }
 
 // Guards against values that are lost, rounded, or put into the wrong field.
-const story Values("settings reader: values", [] {
+const test_case Values("settings reader: values", [] {
   if (auto When = section("when a document with comments is read")) {
     schema::job_document Job;
     auto Issues = wire::readDocument(R"({
@@ -64,7 +64,7 @@
 });
 
 // Guards against faulty documents that are accepted, and against issues that point to the wrong place.
-const story Faults("settings reader: faults", [] {
+const test_case Faults("settings reader: faults", [] {
   struct expectation {
     std::string Text;
     std::string Issues;
@@ -137,7 +137,7 @@
 });
 
 // Guards against daemons that start with settings under which they cannot work.
-const story Settings("settings reader: daemon settings", [] {
+const test_case Settings("settings reader: daemon settings", [] {
   auto Issues = [](const std::string &Text) {
     schema::daemon_settings Settings;
     return wire::formatIssues(wire::readSettings(Text, Settings));
--- a/src/yuccaplank/wire/url_test.cpp
+++ b/src/yuccaplank/wire/url_test.cpp
@@ -1,15 +1,15 @@
 #include "yuccaplank/wire/url.hpp"
 
-#include "yuccaplank/testing/story.hpp"
+#include "yuccaplank/testing/test_case.hpp"
 
 using namespace yuccaplank;
 using testing::section;
-using testing::story;
+using testing::test_case;
 
 namespace {
 
 // Guards against names that change the path or the query they stand in, and against lost bytes.
-const story Encoding("url: percent-encoding", [] {
+const test_case Encoding("url: percent-encoding", [] {
   std::string AllBytes;
   for (int Byte = 0; Byte < 256; ++Byte)
     AllBytes.push_back(static_cast<char>(Byte));
@@ -25,7 +25,7 @@
 });
 
 // Guards against values that are given to another name.
-const story Query("url: query", [] {
+const test_case Query("url: query", [] {
   auto Parsed = wire::parseQuery("a=1&&b&c=x%26y+z=&=4");
   std::vector<std::pair<std::string, std::string>> Expected{
       {"a", "1"}, {"b", ""}, {"c", "x&y z="}, {"", "4"}};
