--- a/include/yuccaplank/dispatch/contact_plan.hpp
+++ b/include/yuccaplank/dispatch/contact_plan.hpp
@@ -38,10 +38,10 @@
   /// Dispatching VMs of a failure domain, which share its servers; three bear the loss of one in a burst.
   std::size_t PerDomain = 3;
   /// After a VM's first registration the entries of others that start with it may be missing for this time.
-  runtime::duration SettleTime = std::chrono::milliseconds(700);
+  runtime::duration SettleDelay = std::chrono::milliseconds(700);
   /// Longer than the drain and the restart of a VM (a grace period of 6 s), which would otherwise move the
   /// role twice, and to weaker VMs.
-  runtime::duration ChangeDelay = std::chrono::seconds(12);
+  runtime::duration RoleChangeDelay = std::chrono::seconds(12);
 };
 
 /// Whether this VM dispatches, from whether it is chosen now.
@@ -56,7 +56,7 @@
 
 private:
   dispatching_options Options;
-  std::optional<runtime::time_point> DecidesAt;
+  std::optional<runtime::time_point> DecisionDueAt;
   std::optional<runtime::time_point> DiffersSince;
   bool Decided = false;
   bool Dispatches = false;
--- a/include/yuccaplank/dispatch/entry_vm.hpp
+++ b/include/yuccaplank/dispatch/entry_vm.hpp
@@ -30,7 +30,7 @@
   runtime::duration RetryInterval = std::chrono::milliseconds(1000);
   /// A VM that has lost all others at once is more likely cut off or slow than the last one, and takes over
   /// servers of other failure domains only after this time.
-  runtime::duration AloneTime = std::chrono::milliseconds(2000);
+  runtime::duration IsolatedClaimDelay = std::chrono::milliseconds(2000);
   /// How long a cancel waits for the other VMs.
   runtime::duration CancelTimeout = std::chrono::milliseconds(400);
   fleet_view_options View;
@@ -102,7 +102,7 @@
   virtual void onClosed(const std::string &Vm) = 0;
   virtual void onConnectFailed(const std::string &Address) = 0;
 
-  [[nodiscard]] virtual const configuration *current() const = 0;
+  [[nodiscard]] virtual const configuration *currentConfiguration() const = 0;
   /// Whether jobs can be served: there is a configuration and a VM that dispatches, and this VM is not
   /// draining.
   [[nodiscard]] virtual bool ready() const = 0;
@@ -111,7 +111,7 @@
   /// Cancels a job wherever it is; OnDone tells whether it was found.
   virtual void cancel(std::uint64_t Job, std::function<void(bool Found)> OnDone) = 0;
   /// Jobs of a queue that wait on any VM in contact.
-  [[nodiscard]] virtual std::uint32_t waiting(const std::string &Queue) const = 0;
+  [[nodiscard]] virtual std::uint32_t waitingJobs(const std::string &Queue) const = 0;
   /// The process did not run for so long that others may have taken over its roles.
   virtual void onPause() = 0;
   /// Others take over this VM's roles; jobs in hand go on.
--- a/include/yuccaplank/dispatch/fleet_view.hpp
+++ b/include/yuccaplank/dispatch/fleet_view.hpp
@@ -16,9 +16,9 @@
   /// Contact with a VM lasts for this time from when this VM *sent* the last heartbeat that the other one has
   /// answered. The other one has dealt with that heartbeat later than it was sent, and so waits longer before
   /// it counts on what this VM did for it being over; dispatch/bounds checks the sums.
-  runtime::duration Lease = std::chrono::milliseconds(560);
+  runtime::duration ContactLease = std::chrono::milliseconds(560);
   /// Contact ends this long after the connection has broken, which is the usual sign of a dead process.
-  runtime::duration ReconnectTime = std::chrono::milliseconds(250);
+  runtime::duration ReconnectTimeout = std::chrono::milliseconds(250);
   /// After a start, servers are claimed and tasks placed only when each VM known then has been heard or found
   /// out of reach, or this time has passed, so that a VM that has just started does not believe itself alone.
   runtime::duration DiscoveryTimeout = std::chrono::milliseconds(700);
@@ -31,14 +31,14 @@
   std::string Address;
   bool InContact = false;
   /// The connection has broken since the VM was last heard.
-  bool Broken = false;
+  bool ConnectionBroken = false;
   /// In contact, or found out of reach, since discovery began.
-  bool Discovered = false;
-  runtime::time_point LastHeard{};
+  bool DiscoveryDone = false;
+  runtime::time_point LastActiveAt{};
   /// Its clock in the last status that was heard over the present connection; 0 before.
   std::uint32_t ClockMs = 0;
   /// When this VM sent the last status that the other one has answered, by the clock that counts suspension.
-  runtime::time_point AnsweredAt = runtime::time_point::min();
+  runtime::time_point LastAnsweredHeartbeat = runtime::time_point::min();
   schema::vm_status Status;
 };
 
@@ -62,18 +62,18 @@
   /// The own status, as sent to others.
   virtual void setSelf(const schema::vm_status &Status) = 0;
   /// A VM may be at this address.
-  virtual void learn(const std::string &Vm, const std::string &Address) = 0;
+  virtual void addAddress(const std::string &Vm, const std::string &Address) = 0;
   /// The VM has been removed for good.
-  virtual void forget(const std::string &Vm) = 0;
-  virtual std::vector<view_change> heard(const schema::vm_status &Status) = 0;
+  virtual void removeVm(const std::string &Vm) = 0;
+  virtual std::vector<view_change> onStatus(const schema::vm_status &Status) = 0;
   /// Sets the own clock in a status for the VM, and the echo of that one's clock.
-  virtual void stamp(const std::string &Vm, schema::vm_status &Status) const = 0;
+  virtual void setClocks(const std::string &Vm, schema::vm_status &Status) const = 0;
   /// The connection to the VM has broken.
-  virtual void broken(const std::string &Vm) = 0;
+  virtual void onConnectionBroken(const std::string &Vm) = 0;
   /// No connection to an address could be made.
-  virtual void unreachable(const std::string &Address) = 0;
+  virtual void onAddressUnreachable(const std::string &Address) = 0;
   /// The VM is certainly out of reach.
-  virtual std::vector<view_change> lost(const std::string &Vm) = 0;
+  virtual std::vector<view_change> endContact(const std::string &Vm) = 0;
   /// Ends contact with each VM whose time is over; cheap when there is none.
   virtual std::vector<view_change> tick() = 0;
 
--- a/include/yuccaplank/dispatch/server_owner.hpp
+++ b/include/yuccaplank/dispatch/server_owner.hpp
@@ -22,9 +22,10 @@
   [[nodiscard]] virtual bool shouldOwn(const std::string &Rack, const std::string &Domain) const = 0;
   [[nodiscard]] virtual bool reachable(const std::string &Vm) const = 0;
   /// See ledger_ports.
-  [[nodiscard]] virtual bool ownerMissing() const = 0;
+  [[nodiscard]] virtual bool anyOwnerOutOfContact() const = 0;
   /// See ledger_ports.
-  [[nodiscard]] virtual std::optional<runtime::time_point> answeredAt(const std::string &Vm) const = 0;
+  [[nodiscard]] virtual std::optional<runtime::time_point>
+  lastAnsweredHeartbeat(const std::string &Vm) const = 0;
   /// See ledger_ports.
   virtual std::uint64_t fencingToken(std::uint64_t Above) = 0;
 };
@@ -42,7 +43,7 @@
   /// The servers that the platform lists now.
   virtual void setServers(const std::vector<server_entry> &Servers) = 0;
   /// The view of the other VMs has changed: claims what this VM should own now.
-  virtual void reviewOwnership() = 0;
+  virtual void claimAssignedServers() = 0;
   virtual void onStart(const std::string &Coordinator, const schema::start_task &Request) = 0;
   virtual void onStop(const std::string &Coordinator, const schema::stop_task &Request) = 0;
   virtual void onSubscribe(const std::string &Placer, const schema::subscribe_servers &Request) = 0;
--- a/src/yuccaplank/dispatch/bounds_test.cpp
+++ b/src/yuccaplank/dispatch/bounds_test.cpp
@@ -17,28 +17,28 @@
   platform_bounds Platform;
   entry_vm_options Options;
   if (auto Given = section("given the defaults")) {
-    CPPUNIT_ASSERT(keepsBounds(Platform, Options));
-    auto Lease = Options.Ledger.Lease;
+    CPPUNIT_ASSERT(satisfiesBounds(Platform, Options));
+    auto Lease = Options.Ledger.LeaseDuration;
     CPPUNIT_ASSERT(applyBounds(Platform, Options));
-    CPPUNIT_ASSERT(Options.Ledger.Lease == Lease);
+    CPPUNIT_ASSERT(Options.Ledger.LeaseDuration == Lease);
   }
   if (auto Given = section("given callers that come back earlier")) {
-    Platform.Resend = milliseconds(1000);
-    CPPUNIT_ASSERT(!keepsBounds(Platform, Options));
+    Platform.ResendDelay = milliseconds(1000);
+    CPPUNIT_ASSERT(!satisfiesBounds(Platform, Options));
     CPPUNIT_ASSERT(applyBounds(Platform, Options));
-    CPPUNIT_ASSERT(Options.Coordinator.OrphanTimeout < Platform.Resend);
+    CPPUNIT_ASSERT(Options.Coordinator.OrphanTimeout < Platform.ResendDelay);
   }
   if (auto Given = section("given VMs that pass a job on before its former runs have ended")) {
     Options.Relay.OrphanTimeout = milliseconds(900);
-    CPPUNIT_ASSERT(!keepsBounds(Platform, Options));
+    CPPUNIT_ASSERT(!satisfiesBounds(Platform, Options));
   }
   if (auto Given = section("given servers that grant short leases")) {
     Platform.MaxLease = milliseconds(400);
     CPPUNIT_ASSERT(applyBounds(Platform, Options));
-    CPPUNIT_ASSERT(Options.Ledger.Lease == milliseconds(400));
+    CPPUNIT_ASSERT(Options.Ledger.LeaseDuration == milliseconds(400));
   }
   if (auto Given = section("given callers that come back before anything could be noticed")) {
-    Platform.Resend = milliseconds(300);
+    Platform.ResendDelay = milliseconds(300);
     CPPUNIT_ASSERT(!applyBounds(Platform, Options));
   }
 });
--- a/src/yuccaplank/dispatch/contact_clock.hpp
+++ b/src/yuccaplank/dispatch/contact_clock.hpp
@@ -22,10 +22,10 @@
 
   /// When the clock showed a value that another VM has echoed, rounded to the past; nothing when that is more
   /// than Limit ago or in the future.
-  [[nodiscard]] std::optional<runtime::time_point> shownAt(std::uint32_t Echo,
-                                                           runtime::duration Limit) const {
+  [[nodiscard]] std::optional<runtime::time_point> sentAt(std::uint32_t Echo,
+                                                          runtime::duration MaxAge) const {
     std::chrono::milliseconds Age(now() - Echo + 1);
-    if (Echo == 0 || Age > Limit)
+    if (Echo == 0 || Age > MaxAge)
       return std::nullopt;
     return Clock.sinceBoot() - Age;
   }
--- a/src/yuccaplank/dispatch/contact_plan.cpp
+++ b/src/yuccaplank/dispatch/contact_plan.cpp
@@ -26,29 +26,29 @@
 std::set<std::string> contactsOfRelay(const registered_vms &Vms, const std::set<std::string> &Dispatchers,
                                       const std::string &Domain,
                                       const std::function<bool(const std::string &)> &InContact) {
-  std::set<std::string> Near;
+  std::set<std::string> SameDomain;
   for (const std::string &Vm : Dispatchers)
     if (auto Found = Vms.find(Vm); Found != Vms.end() && Found->second.Domain == Domain)
-      Near.insert(Vm);
-  return std::ranges::any_of(Near, InContact) ? Near : Dispatchers;
+      SameDomain.insert(Vm);
+  return std::ranges::any_of(SameDomain, InContact) ? SameDomain : Dispatchers;
 }
 
 void dispatching_decision::onRegistered(runtime::time_point Now, bool Returning) {
-  if (!DecidesAt)
-    DecidesAt = Returning ? Now : Now + Options.SettleTime;
+  if (!DecisionDueAt)
+    DecisionDueAt = Returning ? Now : Now + Options.SettleDelay;
 }
 
 bool dispatching_decision::update(runtime::time_point Now, bool Chosen) {
-  if (!DecidesAt || Now < *DecidesAt)
+  if (!DecisionDueAt || Now < *DecisionDueAt)
     return false;
-  bool First = !std::exchange(Decided, true);
+  bool IsFirstDecision = !std::exchange(Decided, true);
   if (Chosen == Dispatches) {
     DiffersSince.reset();
     return Dispatches;
   }
   if (!DiffersSince)
     DiffersSince = Now;
-  if (First || Now - *DiffersSince >= Options.ChangeDelay) {
+  if (IsFirstDecision || Now - *DiffersSince >= Options.RoleChangeDelay) {
     Dispatches = Chosen;
     DiffersSince.reset();
   }
--- a/src/yuccaplank/dispatch/contact_plan_test.cpp
+++ b/src/yuccaplank/dispatch/contact_plan_test.cpp
@@ -73,21 +73,21 @@
     Role.onRegistered(Start, true);
     CPPUNIT_ASSERT(Role.update(Start, true));
     if (auto When = section("a short loss of the choice changes nothing, a longer one does")) {
-      CPPUNIT_ASSERT(Role.update(Start + Options.SettleTime, false));
-      CPPUNIT_ASSERT(Role.update(Start + 2 * Options.SettleTime, true));
-      auto Lost = Start + 3 * Options.SettleTime;
+      CPPUNIT_ASSERT(Role.update(Start + Options.SettleDelay, false));
+      CPPUNIT_ASSERT(Role.update(Start + 2 * Options.SettleDelay, true));
+      auto Lost = Start + 3 * Options.SettleDelay;
       CPPUNIT_ASSERT(Role.update(Lost, false));
-      CPPUNIT_ASSERT(!Role.update(Lost + Options.ChangeDelay, false));
+      CPPUNIT_ASSERT(!Role.update(Lost + Options.RoleChangeDelay, false));
     }
   }
   if (auto Given = section("given a first start, it waits for the entries of the others")) {
     Role.onRegistered(Start, false);
     CPPUNIT_ASSERT(!Role.update(Start, true));
-    CPPUNIT_ASSERT(!Role.update(Start + Options.SettleTime, false));
+    CPPUNIT_ASSERT(!Role.update(Start + Options.SettleDelay, false));
     if (auto When = section("a VM that is not chosen takes it up when it has been chosen for some time")) {
-      auto Chosen = Start + 2 * Options.SettleTime;
+      auto Chosen = Start + 2 * Options.SettleDelay;
       CPPUNIT_ASSERT(!Role.update(Chosen, true));
-      CPPUNIT_ASSERT(Role.update(Chosen + Options.ChangeDelay, true));
+      CPPUNIT_ASSERT(Role.update(Chosen + Options.RoleChangeDelay, true));
     }
   }
 });
--- a/src/yuccaplank/dispatch/entry_vm.cpp
+++ b/src/yuccaplank/dispatch/entry_vm.cpp
@@ -22,10 +22,10 @@
 using runtime::time_point;
 
 constexpr auto TickInterval = std::chrono::milliseconds(50);
-constexpr std::size_t ManyWaitingJobs = 100;
+constexpr std::size_t BusyQueueThreshold = 100;
 constexpr auto BusyScheduleDelay = std::chrono::milliseconds(2);
 // A VM that has not been in contact for this time is taken as removed for good.
-constexpr auto StaleTime = std::chrono::seconds(15);
+constexpr auto StaleRegistrationTimeout = std::chrono::seconds(15);
 // Queued jobs are looked at this often even when nothing else happens, so that refusals are not late.
 constexpr auto ScheduleInterval = std::chrono::milliseconds(10);
 
@@ -37,8 +37,8 @@
         Contacts(*View, *this, Self, Options.Dispatching.PerDomain),
         Queue(makePlacementQueue(Executor.clock(), sender(), Options.Placement)),
         Jobs(makeJobCoordinator(Executor, *this, Options.Coordinator)),
-        Owner(makeServerOwner(Executor, *this, Options.Ledger)), RelaySide(*this),
-        Relay(makeJobRelay(Executor, RelaySide, Options.Relay)),
+        Owner(makeServerOwner(Executor, *this, Options.Ledger)), RelayAdapter(*this),
+        Relay(makeJobRelay(Executor, RelayAdapter, Options.Relay)),
         Waiters(*Jobs, sender(),
                 [this](std::uint64_t Job, const job_answer &Answer) { this->Ports.answer(Job, Answer); }),
         Router(*Jobs, Waiters, *Relay, [this] { return relaysNewJobs(); }), Cancels(Executor, sender()),
@@ -49,17 +49,17 @@
     Self.set_domain(Options.Domain);
     Self.set_strength(Options.Strength);
     View->setSelf(Self);
-    every(Options.HeartbeatInterval, [this] {
+    runEvery(Options.HeartbeatInterval, [this] {
       // What is given up is told before a heartbeat that prolongs contact with others.
-      endContacts();
+      endExpiredContacts();
       Contacts.sendHeartbeats();
     });
-    every(Options.RetryInterval, [this] {
-      Contacts.tryOthers();
+    runEvery(Options.RetryInterval, [this] {
+      Contacts.contactOthers();
       reportStaleVms();
     });
-    every(TickInterval, [this] { tick(); });
-    every(ScheduleInterval, [this] { schedule(); });
+    runEvery(TickInterval, [this] { tick(); });
+    runEvery(ScheduleInterval, [this] { schedule(); });
   }
   entry_vm_impl(const entry_vm_impl &) = delete;
   entry_vm_impl &operator=(const entry_vm_impl &) = delete;
@@ -68,8 +68,8 @@
   void setRegistration(std::uint64_t Version, bool Returning) override {
     Self.set_registration(Version);
     Decision.onRegistered(Executor.clock().now(), Returning);
-    chooseAgain();
-    statusChanged();
+    updateDispatchers();
+    onOwnStatusChanged();
   }
 
   void observeTerm(std::uint32_t Term) override {
@@ -88,9 +88,9 @@
          {"queues", static_cast<std::int64_t>(Configuration.Queues.size())}});
     Current = std::make_unique<configuration>(std::move(Configuration));
     Self.set_configuration_version(Current->Version);
-    Copy.set_version(Current->Version);
-    Copy.set_document(std::move(Document));
-    statusChanged();
+    CurrentCopy.set_version(Current->Version);
+    CurrentCopy.set_document(std::move(Document));
+    onOwnStatusChanged();
     return true;
   }
 
@@ -98,46 +98,46 @@
 
   void setRegisteredVms(const registered_vms &Vms) override {
     Contacts.setRegistered(Vms);
-    chooseAgain();
-    Contacts.tryOthers();
+    updateDispatchers();
+    Contacts.contactOthers();
   }
 
   void addSeeds(const std::vector<std::string> &Addresses) override {
     Contacts.setSeeds(Addresses);
-    Contacts.tryOthers();
+    Contacts.contactOthers();
   }
 
   void onMessage(const std::string &Vm, const std::string &Incarnation,
                  const schema::dispatch_message &Message) override {
-    std::string &Known = Incarnations[Vm];
-    if (!Known.empty() && Known != Incarnation) {
+    std::string &LastIncarnation = Incarnations[Vm];
+    if (!LastIncarnation.empty() && LastIncarnation != Incarnation) {
       log(log_level::Warning, "vm_restarted", {{"vm", Vm}});
-      if (!View->lost(Vm).empty())
-        forgetSessions(Vm);
+      if (!View->endContact(Vm).empty())
+        dropSessions(Vm);
     }
-    Known = Incarnation;
+    LastIncarnation = Incarnation;
     handle(Vm, Message);
   }
 
   void onClosed(const std::string &Vm) override {
-    View->broken(Vm);
+    View->onConnectionBroken(Vm);
     auto Found = View->others().find(Vm);
     // Who does not want contact would be met again and again.
     if (Found != View->others().end() && Found->second.InContact && Contacts.needsContact(Vm))
-      Contacts.greet(Vm, Found->second.Address);
+      Contacts.sendGreeting(Vm, Found->second.Address);
   }
 
   void onConnectFailed(const std::string &Address) override {
-    View->unreachable(Address);
+    View->onAddressUnreachable(Address);
     std::vector<std::string> Unreachable;
-    for (const auto &[Vm, Known] : View->others())
-      if (Known.Address == Address && Known.InContact && Known.Broken)
+    for (const auto &[Vm, OtherVm] : View->others())
+      if (OtherVm.Address == Address && OtherVm.InContact && OtherVm.ConnectionBroken)
         Unreachable.push_back(Vm);
     for (const std::string &Vm : Unreachable)
-      apply(View->lost(Vm));
+      applyChanges(View->endContact(Vm));
   }
 
-  [[nodiscard]] const configuration *current() const override { return Current.get(); }
+  [[nodiscard]] const configuration *currentConfiguration() const override { return Current.get(); }
   [[nodiscard]] bool ready() const override { return Current && !Self.draining() && !View->placer().empty(); }
   job_service &jobs() override { return Router; }
 
@@ -146,20 +146,20 @@
       OnDone(true);
       return;
     }
-    if (!Contacts.relays()) {
+    if (!Contacts.isRelay()) {
       Cancels.ask(Job, Contacts.coordinatingVms(), Options.CancelTimeout, std::move(OnDone));
       return;
     }
     // The dispatching VM asks the others in turn.
     std::string Dispatcher = View->dispatcherFor(Job, Options.Domain);
-    std::vector<std::string> Asked;
+    std::vector<std::string> Recipients;
     if (!Dispatcher.empty())
-      Asked.push_back(Dispatcher);
-    Cancels.ask(Job, Asked, 2 * Options.CancelTimeout, std::move(OnDone));
+      Recipients.push_back(Dispatcher);
+    Cancels.ask(Job, Recipients, 2 * Options.CancelTimeout, std::move(OnDone));
   }
 
-  [[nodiscard]] std::uint32_t waiting(const std::string &QueueName) const override {
-    auto Lengths = Contacts.waitingInFleet();
+  [[nodiscard]] std::uint32_t waitingJobs(const std::string &QueueName) const override {
+    auto Lengths = Contacts.fleetQueueLengths();
     auto Found = Lengths.find(QueueName);
     return Found == Lengths.end() ? 0 : Found->second;
   }
@@ -170,18 +170,18 @@
     Self.set_pauses(Self.pauses() + 1);
     View->setSelf(Self);
     std::vector<std::string> Names;
-    for (const auto &[Vm, Known] : View->others())
+    for (const auto &[Vm, OtherVm] : View->others())
       Names.push_back(Vm);
     for (const std::string &Vm : Names)
-      apply(View->lost(Vm));
+      applyChanges(View->endContact(Vm));
     Owner->onPause();
-    Contacts.tryOthers();
-    reviewRoles();
+    Contacts.contactOthers();
+    updatePlacerAndOwnership();
   }
 
   void drain() override {
     Self.set_draining(true);
-    statusChanged();
+    onOwnStatusChanged();
   }
 
   [[nodiscard]] entry_vm_state state() const override {
@@ -191,10 +191,10 @@
     State.Dispatching = Self.role() == schema::VM_DISPATCHES;
     State.Placing = Placing;
     State.VmsInContact = vmsInContact();
-    for (const auto &[Vm, Known] : View->others())
-      if (Known.InContact)
-        State.OldestAnswer =
-            std::max(State.OldestAnswer, duration(Executor.clock().sinceBoot() - Known.AnsweredAt));
+    for (const auto &[Vm, OtherVm] : View->others())
+      if (OtherVm.InContact)
+        State.OldestAnswer = std::max(State.OldestAnswer,
+                                      duration(Executor.clock().sinceBoot() - OtherVm.LastAnsweredHeartbeat));
     State.IgnoredEchoes = View->ignoredEchoes();
     State.DeclinedJobs = DeclinedJobs;
     return State;
@@ -204,9 +204,9 @@
     schema::fleet_report Report;
     Report.set_vm(Options.Vm);
     *Report.add_vms() = makeVmReport(Self, Options.Address, true, Placer);
-    for (const auto &[Vm, Known] : View->others()) {
+    for (const auto &[Vm, OtherVm] : View->others()) {
       schema::vm_report &Other = *Report.add_vms();
-      Other = makeVmReport(Known.Status, Known.Address, Known.InContact, Placer);
+      Other = makeVmReport(OtherVm.Status, OtherVm.Address, OtherVm.InContact, Placer);
       // Nothing may have been heard from it yet.
       Other.set_vm(Vm);
     }
@@ -218,8 +218,8 @@
 
 private:
   // What the relay needs of this VM.
-  struct relay_side final : relay_ports {
-    explicit relay_side(entry_vm_impl &Vm) : Vm(Vm) {}
+  struct relay_adapter final : relay_ports {
+    explicit relay_adapter(entry_vm_impl &Vm) : Vm(Vm) {}
     void send(const std::string &To, schema::dispatch_message Message) override {
       Vm.send(To, std::move(Message));
     }
@@ -256,17 +256,17 @@
   void sendTo(const std::string &Vm, const std::string &Address, schema::dispatch_message Message) override {
     Ports.send(Vm, Address, std::move(Message));
   }
-  [[nodiscard]] queue_lengths waitingHere() const override { return Jobs->waiting(); }
-  [[nodiscard]] std::set<std::string> jobHolders() const override { return Relay->dispatchers(); }
+  [[nodiscard]] queue_lengths localQueueLengths() const override { return Jobs->waiting(); }
+  [[nodiscard]] std::set<std::string> jobCoordinators() const override { return Relay->dispatchers(); }
   [[nodiscard]] std::string placer() const override { return Placer; }
   [[nodiscard]] bool reachable(const std::string &Vm) const override { return View->inContact(Vm); }
-  [[nodiscard]] std::optional<time_point> answeredAt(const std::string &Vm) const override {
+  [[nodiscard]] std::optional<time_point> lastAnsweredHeartbeat(const std::string &Vm) const override {
     if (Vm == Options.Vm)
       return time_point::max();
     auto Found = View->others().find(Vm);
     if (Found == View->others().end() || !Found->second.InContact)
       return std::nullopt;
-    return Found->second.AnsweredAt;
+    return Found->second.LastAnsweredHeartbeat;
   }
   [[nodiscard]] std::uint32_t session(const std::string &Vm) const override {
     auto Found = Sessions.find(Vm);
@@ -275,18 +275,18 @@
   void answer(std::uint64_t Job, const job_answer &Answer) override { Waiters.onAnswer(Job, Answer); }
   server_orders &orders() override { return Ports.orders(); }
   [[nodiscard]] bool shouldOwn(const std::string &Rack, const std::string &Domain) const override {
-    if (!View->discoveryComplete() || (Domain != Options.Domain && lostAllOfLate()))
+    if (!View->discoveryComplete() || (Domain != Options.Domain && recentlyLostAll()))
       return false;
     // The answer depends on all VMs and is asked for each server all the time.
-    if (std::exchange(OwnRacksVersion, View->version()) != View->version())
-      OwnRacks.clear();
-    auto [Known, IsNew] = OwnRacks.try_emplace({Rack, Domain}, false);
+    if (std::exchange(RackOwnershipViewVersion, View->version()) != View->version())
+      RackOwnership.clear();
+    auto [Entry, IsNew] = RackOwnership.try_emplace({Rack, Domain}, false);
     if (IsNew)
-      Known->second = View->ownerOf(Rack, Domain) == Options.Vm;
-    return Known->second;
+      Entry->second = View->ownerOf(Rack, Domain) == Options.Vm;
+    return Entry->second;
   }
 
-  [[nodiscard]] bool ownerMissing() const override { return Contacts.ownerMissing(); }
+  [[nodiscard]] bool anyOwnerOutOfContact() const override { return Contacts.anyOwnerOutOfContact(); }
 
   // The term is the high part, so that a VM of an older registration can take over without the store.
   std::uint64_t fencingToken(std::uint64_t Above) override {
@@ -298,7 +298,7 @@
       Term = std::max(Term, static_cast<std::uint32_t>(Above >> TermShift)) + 1;
     if (Term != Self.term()) {
       Self.set_term(Term);
-      statusChanged();
+      onOwnStatusChanged();
       Ports.onTermRaised(Term);
     }
     return TokenOf(Term);
@@ -308,7 +308,7 @@
 
   void handle(const std::string &From, const schema::dispatch_message &Message) {
     // What arrives late must not be dealt with as if its sender still counted on this VM.
-    endContacts();
+    endExpiredContacts();
     switch (Message.body_case()) {
     case schema::dispatch_message::kStatus:
       onStatus(Message.status());
@@ -396,15 +396,15 @@
   }
 
   void onStatus(const schema::vm_status &Status) {
-    std::vector<view_change> Changes = View->heard(Status);
+    std::vector<view_change> Changes = View->onStatus(Status);
     // Before what the beginning of contact sends, which the other VM takes only when it is in contact.
     if (Status.vm() != Options.Vm)
       Contacts.answerGreeting(Status, !Changes.empty());
-    apply(Changes);
-    Contacts.learnPeers(Status);
+    applyChanges(Changes);
+    Contacts.addPeers(Status);
     offerConfiguration(Status);
-    if (View->version() != ReviewedVersion)
-      reviewRoles();
+    if (View->version() != AppliedViewVersion)
+      updatePlacerAndOwnership();
   }
 
   void declineRelayed(const std::string &From, const schema::relay_job &Job) {
@@ -424,7 +424,7 @@
       return;
     Offered = Current->Version;
     schema::dispatch_message Message;
-    *Message.mutable_configuration() = Copy;
+    *Message.mutable_configuration() = CurrentCopy;
     send(Status.vm(), std::move(Message));
   }
 
@@ -434,40 +434,41 @@
     // The other end has noticed a break that this end may have missed.
     if (Session.answer() || From == Options.Vm)
       return;
-    resume(From, true);
-    tellPlacing(From);
+    sendResume(From, true);
+    resyncPlacement(From);
   }
 
   void onCancel(const std::string &From, const schema::cancel_submitted &Request) {
-    auto Answer = [this, From, Exchange = Request.exchange()](bool Found) {
+    auto Reply = [this, From, Exchange = Request.exchange()](bool Found) {
       schema::dispatch_message Message;
       Message.mutable_cancelled()->set_exchange(Exchange);
       Message.mutable_cancelled()->set_found(Found);
       send(From, std::move(Message));
     };
     bool Found = Jobs->cancel(Request.job(), end_reason::Cancelled);
-    auto Asking = View->others().find(From);
-    bool AsksForAll = Asking != View->others().end() && Asking->second.Status.role() == schema::VM_RELAYS;
-    if (Found || !AsksForAll)
-      Answer(Found);
+    auto Requester = View->others().find(From);
+    bool FromRelay =
+        Requester != View->others().end() && Requester->second.Status.role() == schema::VM_RELAYS;
+    if (Found || !FromRelay)
+      Reply(Found);
     else
-      Cancels.ask(Request.job(), Contacts.coordinatingVms(), Options.CancelTimeout, Answer);
+      Cancels.ask(Request.job(), Contacts.coordinatingVms(), Options.CancelTimeout, Reply);
   }
 
   // Contact with other VMs.
 
-  void apply(const std::vector<view_change> &Changes) {
+  void applyChanges(const std::vector<view_change> &Changes) {
     for (const view_change &Change : Changes) {
       switch (Change.Kind) {
       case view_change::kind::Found:
         log(log_level::Info, "vm_found", {{"vm", Change.Vm}});
         if (Contacts.coordinates(Change.Vm))
           Owner->onOwnerFound();
-        begin(Change.Vm);
+        onContactBegan(Change.Vm);
         break;
       case view_change::kind::Resumed:
         log(log_level::Info, "vm_resumed", {{"vm", Change.Vm}});
-        begin(Change.Vm);
+        onContactBegan(Change.Vm);
         break;
       case view_change::kind::Lost:
         onVmLost(Change.Vm);
@@ -475,18 +476,18 @@
       }
     }
     if (!Changes.empty())
-      reviewRoles();
+      updatePlacerAndOwnership();
   }
 
-  void begin(const std::string &Vm) {
-    resume(Vm, false);
+  void onContactBegan(const std::string &Vm) {
+    sendResume(Vm, false);
     OfferedVersions.erase(Vm);
     if (Contacts.coordinates(Vm))
       Owner->announceOwnedServers(Vm);
-    tellPlacing(Vm);
+    resyncPlacement(Vm);
   }
 
-  void resume(const std::string &Vm, bool Answer) {
+  void sendResume(const std::string &Vm, bool Answer) {
     schema::resume_session Session;
     Session.set_session(++Sessions[Vm]);
     Session.set_answer(Answer);
@@ -495,9 +496,9 @@
   }
 
   // What placer and coordinators have told before may be lost.
-  void tellPlacing(const std::string &Vm) {
+  void resyncPlacement(const std::string &Vm) {
     if (Placing && Contacts.coordinates(Vm))
-      send(Vm, subscription(false));
+      send(Vm, makeSubscription(false));
     if (Vm == Placer)
       Jobs->onPlacerChanged();
   }
@@ -507,9 +508,9 @@
     if (vmsInContact() == 0)
       LostAllAt = Executor.clock().now();
     Ports.disconnect(Vm);
-    forgetSessions(Vm);
+    dropSessions(Vm);
     if (!Contacts.needsContact(Vm))
-      View->forget(Vm);
+      View->removeVm(Vm);
   }
 
   [[nodiscard]] std::size_t vmsInContact() const {
@@ -517,11 +518,12 @@
         std::ranges::count_if(View->others(), [](const auto &Entry) { return Entry.second.InContact; }));
   }
 
-  [[nodiscard]] bool lostAllOfLate() const {
-    return LostAllAt && vmsInContact() == 0 && Executor.clock().now() - *LostAllAt < Options.AloneTime;
+  [[nodiscard]] bool recentlyLostAll() const {
+    return LostAllAt && vmsInContact() == 0 &&
+           Executor.clock().now() - *LostAllAt < Options.IsolatedClaimDelay;
   }
 
-  void forgetSessions(const std::string &Vm) {
+  void dropSessions(const std::string &Vm) {
     Queue->removeVm(Vm);
     Owner->onVmLost(Vm);
     Jobs->onVmLost(Vm);
@@ -538,29 +540,29 @@
 
   // Entries of VMs that were removed without a signal stay in the store and take the place of others.
   void reportStaleVms() {
-    time_point Before = Executor.clock().now() - StaleTime;
+    time_point Before = Executor.clock().now() - StaleRegistrationTimeout;
     if (!Placing || PlacingSince >= Before)
       return;
-    for (const std::string &Vm : Contacts.missingSince(Before))
+    for (const std::string &Vm : Contacts.dispatchersOutOfContactSince(Before))
       Ports.onStaleRegistration(Vm);
   }
 
-  void statusChanged() {
+  void onOwnStatusChanged() {
     Self.set_serving(Current != nullptr);
     View->setSelf(Self);
     Contacts.sendHeartbeats();
-    reviewRoles();
+    updatePlacerAndOwnership();
   }
 
   // Roles.
 
-  void chooseAgain() {
+  void updateDispatchers() {
     Contacts.chooseDispatchers();
-    reviewDispatching();
+    updateRole();
   }
 
-  void reviewDispatching() {
-    bool Dispatches = Decision.update(Executor.clock().now(), Contacts.chosen());
+  void updateRole() {
+    bool Dispatches = Decision.update(Executor.clock().now(), Contacts.isChosen());
     schema::vm_role Role = Self.role();
     if (Dispatches)
       Role = schema::VM_DISPATCHES;
@@ -576,39 +578,39 @@
     log(log_level::Info, "role_changed",
         {{"role", schema::vm_role_Name(Role)},
          {"former", schema::vm_role_Name(Self.role())},
-         {"dispatchers", static_cast<std::int64_t>(Contacts.dispatchers())}});
-    bool WasRelay = Contacts.relays();
+         {"dispatchers", static_cast<std::int64_t>(Contacts.dispatcherCount())}});
+    bool WasRelay = Contacts.isRelay();
     Self.set_role(Role);
     View->setSelf(Self);
     if (WasRelay)
       View->restartDiscovery();
-    if (WasRelay != Contacts.relays())
-      Ports.onServersNeeded(!Contacts.relays());
-    Contacts.tryOthers();
-    statusChanged();
+    if (WasRelay != Contacts.isRelay())
+      Ports.onServersNeeded(!Contacts.isRelay());
+    Contacts.contactOthers();
+    onOwnStatusChanged();
   }
 
-  void reviewRoles() {
-    ReviewedVersion = View->version();
+  void updatePlacerAndOwnership() {
+    AppliedViewVersion = View->version();
     Relay->onDispatcherFound();
-    std::string Now = View->discoveryComplete() ? View->placer() : std::string();
-    if (Now != Placer) {
-      log(log_level::Info, "placer_changed", {{"placer", Now}, {"former", Placer}});
-      Placer = Now;
+    std::string NewPlacer = View->discoveryComplete() ? View->placer() : std::string();
+    if (NewPlacer != Placer) {
+      log(log_level::Info, "placer_changed", {{"placer", NewPlacer}, {"former", Placer}});
+      Placer = NewPlacer;
       setPlacing(Placer == Options.Vm);
       Jobs->onPlacerChanged();
     }
-    Owner->reviewOwnership();
+    Owner->claimAssignedServers();
   }
 
-  void setPlacing(bool Now) {
-    if (std::exchange(Placing, Now) == Now)
+  void setPlacing(bool IsPlacing) {
+    if (std::exchange(Placing, IsPlacing) == IsPlacing)
       return;
     PlacingSince = Executor.clock().now();
-    broadcast(subscription(!Now));
+    broadcast(makeSubscription(!IsPlacing));
   }
 
-  static schema::dispatch_message subscription(bool End) {
+  static schema::dispatch_message makeSubscription(bool End) {
     schema::dispatch_message Message;
     Message.mutable_subscribe()->set_end(End);
     return Message;
@@ -622,31 +624,31 @@
       SchedulePosted = false;
       Queue->schedule();
     });
-    if (Queue->waitingJobs() > ManyWaitingJobs)
+    if (Queue->waitingJobs() > BusyQueueThreshold)
       Executor.after(BusyScheduleDelay, Schedule);
     else
       Executor.post(Schedule);
   }
 
   void schedule() {
-    endContacts();
+    endExpiredContacts();
     if (Placing)
       Queue->schedule();
   }
 
-  void endContacts() { apply(View->tick()); }
+  void endExpiredContacts() { applyChanges(View->tick()); }
 
   void tick() {
-    endContacts();
-    reviewDispatching();
-    reviewRoles();
+    endExpiredContacts();
+    updateRole();
+    updatePlacerAndOwnership();
     Owner->tick();
   }
 
-  void every(runtime::duration Interval, std::function<void()> Function) {
+  void runEvery(runtime::duration Interval, std::function<void()> Function) {
     Executor.after(Interval, Lifetime.guard([this, Interval, Function = std::move(Function)] {
       Function();
-      every(Interval, Function);
+      runEvery(Interval, Function);
     }));
   }
 
@@ -659,22 +661,22 @@
   std::unique_ptr<placement_queue> Queue;
   std::unique_ptr<job_coordinator> Jobs;
   std::unique_ptr<server_owner> Owner;
-  relay_side RelaySide;
+  relay_adapter RelayAdapter;
   std::unique_ptr<job_relay> Relay;
   job_waiters Waiters;
   job_router Router;
   cancel_exchanges Cancels;
   dispatching_decision Decision;
   std::unique_ptr<configuration> Current;
-  schema::configuration_copy Copy;
+  schema::configuration_copy CurrentCopy;
   std::map<std::string, std::string> Incarnations;
   std::map<std::string, std::uint32_t> Sessions;
   std::map<std::string, std::uint64_t> OfferedVersions;
   // Version of the view for which the roles were last looked at.
-  std::uint64_t ReviewedVersion = 0;
+  std::uint64_t AppliedViewVersion = 0;
   // Whether racks, with their domains, are this VM's, under a version of the view.
-  mutable std::map<std::pair<std::string, std::string>, bool> OwnRacks;
-  mutable std::uint64_t OwnRacksVersion = 0;
+  mutable std::map<std::pair<std::string, std::string>, bool> RackOwnership;
+  mutable std::uint64_t RackOwnershipViewVersion = 0;
   std::string Placer;
   bool Placing = false;
   time_point PlacingSince{};
--- a/src/yuccaplank/dispatch/fleet_contacts.cpp
+++ b/src/yuccaplank/dispatch/fleet_contacts.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // Lists of the VMs heard from grow with their number and change rarely.
-constexpr std::uint64_t HeartbeatsToPeerList = 10;
+constexpr std::uint64_t HeartbeatsPerPeerList = 10;
 
 bool mayCoordinate(const known_vm &Vm) { return Vm.InContact && Vm.Status.role() != schema::VM_RELAYS; }
 
@@ -36,18 +36,18 @@
 
 std::vector<std::string> fleet_contacts::coordinatingVms() const {
   std::vector<std::string> Vms;
-  for (const auto &[Vm, Known] : View.others())
-    if (mayCoordinate(Known))
+  for (const auto &[Vm, OtherVm] : View.others())
+    if (mayCoordinate(OtherVm))
       Vms.push_back(Vm);
   return Vms;
 }
 
 std::set<std::string> fleet_contacts::contacts() const {
   std::set<std::string> Names = Dispatchers;
-  if (relays()) {
+  if (isRelay()) {
     Names = contactsOfRelay(Registered, Dispatchers, Self.domain(),
                             [this](const std::string &Vm) { return View.inContact(Vm); });
-    Names.merge(Ports.jobHolders());
+    Names.merge(Ports.jobCoordinators());
   }
   Names.erase(Self.vm());
   return Names;
@@ -57,52 +57,52 @@
   return Registered.empty() || contacts().contains(Vm);
 }
 
-void fleet_contacts::learnPeers(const schema::vm_status &Status) {
+void fleet_contacts::addPeers(const schema::vm_status &Status) {
   if (!Registered.empty())
     return;
   for (const schema::vm_address &Peer : Status.peers())
     if (!View.others().contains(Peer.vm()))
-      View.learn(Peer.vm(), Peer.address());
+      View.addAddress(Peer.vm(), Peer.address());
 }
 
 void fleet_contacts::sendHeartbeats() {
-  bool WithPeers = ++Heartbeats % HeartbeatsToPeerList == 0;
+  bool WithPeers = ++Heartbeats % HeartbeatsPerPeerList == 0;
   // A VM that dispatches answers all that contact it.
-  bool ToAll = !relays() || Registered.empty();
+  bool ToAll = !isRelay() || Registered.empty();
   std::set<std::string> Contacts = ToAll ? std::set<std::string>() : contacts();
   std::optional<schema::dispatch_message> ToDispatchers;
   std::optional<schema::dispatch_message> ToRelays;
-  for (const auto &[Vm, Known] : View.others()) {
-    if (!Known.InContact || (!ToAll && !Contacts.contains(Vm)))
+  for (const auto &[Vm, OtherVm] : View.others()) {
+    if (!OtherVm.InContact || (!ToAll && !Contacts.contains(Vm)))
       continue;
-    bool IsRelay = Known.Status.role() == schema::VM_RELAYS;
+    bool IsRelay = OtherVm.Status.role() == schema::VM_RELAYS;
     std::optional<schema::dispatch_message> &Status = IsRelay ? ToRelays : ToDispatchers;
     if (!Status)
       Status = makeStatus(WithPeers, IsRelay);
-    sendStatus(Vm, Known.Address, *Status);
+    sendStatus(Vm, OtherVm.Address, *Status);
   }
 }
 
-void fleet_contacts::tryOthers() {
+void fleet_contacts::contactOthers() {
   std::set<std::string> Contacts = contacts();
   for (const std::string &Vm : Contacts)
     if (auto Found = Registered.find(Vm); Found != Registered.end())
-      View.learn(Vm, Found->second.Address);
+      View.addAddress(Vm, Found->second.Address);
   if (!Registered.empty())
     forgetUnneededVms(Contacts);
   schema::dispatch_message Message = makeStatus(true, false);
-  bool AnyAlive = false;
-  for (const auto &[Vm, Known] : View.others()) {
-    AnyAlive |= Known.InContact;
-    if (!Known.InContact)
-      sendStatus(Vm, Known.Address, Message);
+  bool AnyInContact = false;
+  for (const auto &[Vm, OtherVm] : View.others()) {
+    AnyInContact |= OtherVm.InContact;
+    if (!OtherVm.InContact)
+      sendStatus(Vm, OtherVm.Address, Message);
   }
   for (const std::string &Seed : Seeds)
-    if (!AnyAlive && Seed != Self.address())
-      greet("", Seed);
+    if (!AnyInContact && Seed != Self.address())
+      sendGreeting("", Seed);
 }
 
-void fleet_contacts::greet(const std::string &Vm, const std::string &Address) {
+void fleet_contacts::sendGreeting(const std::string &Vm, const std::string &Address) {
   sendStatus(Vm, Address, makeStatus(true, false));
 }
 
@@ -117,43 +117,43 @@
 
 void fleet_contacts::sendStatus(const std::string &Vm, const std::string &Address,
                                 schema::dispatch_message Message) {
-  View.stamp(Vm, *Message.mutable_status());
+  View.setClocks(Vm, *Message.mutable_status());
   Ports.sendTo(Vm, Address, std::move(Message));
 }
 
 void fleet_contacts::forgetUnneededVms(const std::set<std::string> &Contacts) {
-  std::vector<std::string> Strangers;
-  for (const auto &[Vm, Known] : View.others())
-    if (!Known.InContact && !Contacts.contains(Vm))
-      Strangers.push_back(Vm);
-  for (const std::string &Vm : Strangers)
-    View.forget(Vm);
+  std::vector<std::string> UnneededVms;
+  for (const auto &[Vm, OtherVm] : View.others())
+    if (!OtherVm.InContact && !Contacts.contains(Vm))
+      UnneededVms.push_back(Vm);
+  for (const std::string &Vm : UnneededVms)
+    View.removeVm(Vm);
 }
 
-std::vector<std::string> fleet_contacts::missingSince(runtime::time_point Before) const {
+std::vector<std::string> fleet_contacts::dispatchersOutOfContactSince(runtime::time_point Before) const {
   std::vector<std::string> Missing;
-  for (const auto &[Vm, Known] : View.others())
-    if (Dispatchers.contains(Vm) && !Known.InContact && Known.LastHeard < Before)
+  for (const auto &[Vm, OtherVm] : View.others())
+    if (Dispatchers.contains(Vm) && !OtherVm.InContact && OtherVm.LastActiveAt < Before)
       Missing.push_back(Vm);
   return Missing;
 }
 
-bool fleet_contacts::ownerMissing() const {
+bool fleet_contacts::anyOwnerOutOfContact() const {
   return std::ranges::any_of(Dispatchers, [this](const std::string &Vm) { return !View.inContact(Vm); });
 }
 
-queue_lengths fleet_contacts::waitingInFleet() const {
-  queue_lengths Lengths = Ports.waitingHere();
-  for (const auto &[Vm, Known] : View.others())
-    for (const schema::queue_length &Length : Known.Status.queues())
-      if (Known.InContact)
+queue_lengths fleet_contacts::fleetQueueLengths() const {
+  queue_lengths Lengths = Ports.localQueueLengths();
+  for (const auto &[Vm, OtherVm] : View.others())
+    for (const schema::queue_length &Length : OtherVm.Status.queues())
+      if (OtherVm.InContact)
         Lengths[Length.queue()] += Length.waiting();
-  if (!relays())
+  if (!isRelay())
     return Lengths;
   // A VM that relays hears from few others, of which each tells the lengths of the fleet.
-  for (const auto &[Vm, Known] : View.others())
-    for (const schema::queue_length &Length : Known.Status.fleet_queues())
-      if (Known.InContact)
+  for (const auto &[Vm, OtherVm] : View.others())
+    for (const schema::queue_length &Length : OtherVm.Status.fleet_queues())
+      if (OtherVm.InContact)
         Lengths[Length.queue()] = std::max(Lengths[Length.queue()], Length.waiting());
   return Lengths;
 }
@@ -162,16 +162,16 @@
   schema::dispatch_message Message;
   schema::vm_status &Status = *Message.mutable_status();
   Status = Self;
-  for (const auto &[Name, Known] : View.others())
-    if (WithPeers && mayCoordinate(Known)) {
+  for (const auto &[Name, OtherVm] : View.others())
+    if (WithPeers && mayCoordinate(OtherVm)) {
       schema::vm_address &Peer = *Status.add_peers();
       Peer.set_vm(Name);
-      Peer.set_address(Known.Address);
+      Peer.set_address(OtherVm.Address);
     }
   if (ForRelay)
-    fillQueues(waitingInFleet(), *Status.mutable_fleet_queues());
+    fillQueues(fleetQueueLengths(), *Status.mutable_fleet_queues());
   else
-    fillQueues(Ports.waitingHere(), *Status.mutable_queues());
+    fillQueues(Ports.localQueueLengths(), *Status.mutable_queues());
   return Message;
 }
 
--- a/src/yuccaplank/dispatch/fleet_contacts.hpp
+++ b/src/yuccaplank/dispatch/fleet_contacts.hpp
@@ -25,9 +25,9 @@
   virtual void sendTo(const std::string &Vm, const std::string &Address,
                       schema::dispatch_message Message) = 0;
   /// Of the jobs that this VM coordinates.
-  [[nodiscard]] virtual queue_lengths waitingHere() const = 0;
+  [[nodiscard]] virtual queue_lengths localQueueLengths() const = 0;
   /// VMs that coordinate jobs of this VM's callers.
-  [[nodiscard]] virtual std::set<std::string> jobHolders() const = 0;
+  [[nodiscard]] virtual std::set<std::string> jobCoordinators() const = 0;
 };
 
 class fleet_contacts {
@@ -43,11 +43,11 @@
   /// Chooses who dispatches, from the registered VMs and the own status.
   void chooseDispatchers();
   /// Whether this VM should dispatch.
-  [[nodiscard]] bool chosen() const { return Dispatchers.contains(Self.vm()); }
-  [[nodiscard]] std::size_t dispatchers() const { return Dispatchers.size(); }
+  [[nodiscard]] bool isChosen() const { return Dispatchers.contains(Self.vm()); }
+  [[nodiscard]] std::size_t dispatcherCount() const { return Dispatchers.size(); }
 
   /// Whether this VM relays its callers' jobs and coordinates none.
-  [[nodiscard]] bool relays() const { return Self.role() == schema::VM_RELAYS; }
+  [[nodiscard]] bool isRelay() const { return Self.role() == schema::VM_RELAYS; }
   /// Whether the VM is in contact and may coordinate jobs, so that it has to know who owns which servers.
   [[nodiscard]] bool coordinates(const std::string &Vm) const;
   [[nodiscard]] std::vector<std::string> coordinatingVms() const;
@@ -55,21 +55,21 @@
   /// Whether this VM keeps contact with the other one; that one may still contact this one.
   [[nodiscard]] bool needsContact(const std::string &Vm) const;
   /// Without entries from the store, contact spreads from the VMs that answer.
-  void learnPeers(const schema::vm_status &Status);
+  void addPeers(const schema::vm_status &Status);
   void sendHeartbeats();
   /// Tries the VMs that contact is wanted with and that are not in contact, and forgets the others.
-  void tryOthers();
-  void greet(const std::string &Vm, const std::string &Address);
+  void contactOthers();
+  void sendGreeting(const std::string &Vm, const std::string &Address);
   /// Answers a status at once where contact has just begun or one side lacks it, so that it begins within a
   /// round trip.
   void answerGreeting(const schema::vm_status &Greeting, bool ContactBegins);
 
   /// Dispatching VMs by the store that have been out of contact since Before.
-  [[nodiscard]] std::vector<std::string> missingSince(runtime::time_point Before) const;
+  [[nodiscard]] std::vector<std::string> dispatchersOutOfContactSince(runtime::time_point Before) const;
   /// Whether a VM that may own servers is out of contact.
-  [[nodiscard]] bool ownerMissing() const;
+  [[nodiscard]] bool anyOwnerOutOfContact() const;
   /// On any VM in contact.
-  [[nodiscard]] queue_lengths waitingInFleet() const;
+  [[nodiscard]] queue_lengths fleetQueueLengths() const;
 
 private:
   [[nodiscard]] std::set<std::string> contacts() const;
--- a/src/yuccaplank/dispatch/fleet_view.cpp
+++ b/src/yuccaplank/dispatch/fleet_view.cpp
@@ -22,12 +22,12 @@
   return std::max(1.0, static_cast<double>(Vm.strength())) / -std::log(Uniform);
 }
 
-bool mayLead(const schema::vm_status &Status) {
+bool isEligible(const schema::vm_status &Status) {
   return Status.registration() > 0 && Status.serving() && Status.role() == schema::VM_DISPATCHES;
 }
 
 // What the choice of placer and owners depends on.
-auto leadingPart(const schema::vm_status &Status) {
+auto roleCriteria(const schema::vm_status &Status) {
   return std::tuple(Status.registration(), Status.serving(), Status.draining(), Status.pauses(),
                     Status.strength(), Status.domain(), Status.role());
 }
@@ -35,50 +35,50 @@
 class fleet_view_impl final : public fleet_view {
 public:
   fleet_view_impl(const runtime::clock &Clock, fleet_view_options Options)
-      : Clock(Clock), Options(Options), OwnClock(Clock, Options.ClockOrigin), StartedAt(Clock.now()) {}
+      : Clock(Clock), Options(Options), LocalClock(Clock, Options.ClockOrigin), StartedAt(Clock.now()) {}
 
   void setSelf(const schema::vm_status &Status) override {
-    noteChange(leadingPart(Self) != leadingPart(Status));
+    bumpVersionIf(roleCriteria(Self) != roleCriteria(Status));
     Self = Status;
     Term = std::max(Term, Status.term());
   }
 
-  void learn(const std::string &Vm, const std::string &Address) override {
+  void addAddress(const std::string &Vm, const std::string &Address) override {
     if (Vm != Self.vm())
       Others[Vm].Address = Address;
   }
 
-  void forget(const std::string &Vm) override {
+  void removeVm(const std::string &Vm) override {
     auto Found = Others.find(Vm);
     if (Found != Others.end() && !Found->second.InContact)
       Others.erase(Found);
   }
 
-  std::vector<view_change> heard(const schema::vm_status &Status) override {
+  std::vector<view_change> onStatus(const schema::vm_status &Status) override {
     if (Status.vm() == Self.vm())
       return {};
     known_vm &Vm = Others[Status.vm()];
     Vm.Address = Status.address();
-    Vm.LastHeard = Clock.now();
+    Vm.LastActiveAt = Clock.now();
     Vm.ClockMs = Status.clock_ms();
     Term = std::max(Term, Status.term());
-    noteEcho(Vm, Status);
+    processEcho(Vm, Status);
     if (!withinLease(Vm))
       return {};
-    Vm.Discovered = true;
-    noteChange(!Vm.InContact || leadingPart(Vm.Status) != leadingPart(Status));
+    Vm.DiscoveryDone = true;
+    bumpVersionIf(!Vm.InContact || roleCriteria(Vm.Status) != roleCriteria(Status));
     bool RoleChanged = Vm.InContact && Vm.Status.role() != Status.role();
     Vm.Status = Status;
-    bool WasBroken = std::exchange(Vm.Broken, false);
+    bool WasConnectionBroken = std::exchange(Vm.ConnectionBroken, false);
     if (!std::exchange(Vm.InContact, true))
       return {{view_change::kind::Found, Status.vm()}};
-    if (WasBroken || RoleChanged)
+    if (WasConnectionBroken || RoleChanged)
       return {{view_change::kind::Resumed, Status.vm()}};
     return {};
   }
 
-  void stamp(const std::string &Vm, schema::vm_status &Status) const override {
-    Status.set_clock_ms(OwnClock.now());
+  void setClocks(const std::string &Vm, schema::vm_status &Status) const override {
+    Status.set_clock_ms(LocalClock.now());
     auto Found = Others.find(Vm);
     if (Found == Others.end())
       return;
@@ -89,44 +89,44 @@
       Status.set_greeting_echo_ms(Other.ClockMs);
   }
 
-  void broken(const std::string &Vm) override {
+  void onConnectionBroken(const std::string &Vm) override {
     auto Found = Others.find(Vm);
     if (Found == Others.end())
       return;
     Found->second.ClockMs = 0;
     if (!Found->second.InContact)
       return;
-    Found->second.Broken = true;
-    Found->second.LastHeard = Clock.now();
-    noteEnd(Clock.sinceBoot() + Options.ReconnectTime);
+    Found->second.ConnectionBroken = true;
+    Found->second.LastActiveAt = Clock.now();
+    updateNextExpiry(Clock.sinceBoot() + Options.ReconnectTimeout);
   }
 
-  std::vector<view_change> lost(const std::string &Vm) override {
+  std::vector<view_change> endContact(const std::string &Vm) override {
     auto Found = Others.find(Vm);
     if (Found == Others.end())
       return {};
-    if (!end(Found->second))
+    if (!resetContact(Found->second))
       return {};
     return {{view_change::kind::Lost, Vm}};
   }
 
   std::vector<view_change> tick() override {
-    if (Clock.sinceBoot() < NextEnd)
+    if (Clock.sinceBoot() < NextExpiry)
       return {};
-    NextEnd = time_point::max();
+    NextExpiry = time_point::max();
     std::vector<view_change> Changes;
     for (auto &[Name, Vm] : Others) {
       if (!Vm.InContact)
         continue;
-      bool GivenUp = Vm.Broken && Clock.now() - Vm.LastHeard >= Options.ReconnectTime;
+      bool GivenUp = Vm.ConnectionBroken && Clock.now() - Vm.LastActiveAt >= Options.ReconnectTimeout;
       if (GivenUp || !withinLease(Vm)) {
-        end(Vm);
+        resetContact(Vm);
         Changes.push_back({view_change::kind::Lost, Name});
         continue;
       }
-      noteEnd(Vm.AnsweredAt + Options.Lease);
-      if (Vm.Broken)
-        noteEnd(Clock.sinceBoot() + (Vm.LastHeard + Options.ReconnectTime - Clock.now()));
+      updateNextExpiry(Vm.LastAnsweredHeartbeat + Options.ContactLease);
+      if (Vm.ConnectionBroken)
+        updateNextExpiry(Clock.sinceBoot() + (Vm.LastActiveAt + Options.ReconnectTimeout - Clock.now()));
     }
     return Changes;
   }
@@ -145,40 +145,41 @@
   void restartDiscovery() override {
     StartedAt = Clock.now();
     for (auto &[Name, Vm] : Others)
-      Vm.Discovered = false;
+      Vm.DiscoveryDone = false;
   }
 
-  void unreachable(const std::string &Address) override {
+  void onAddressUnreachable(const std::string &Address) override {
     for (auto &[Name, Vm] : Others)
       if (Vm.Address == Address && !Vm.InContact)
-        Vm.Discovered = true;
+        Vm.DiscoveryDone = true;
   }
 
   [[nodiscard]] bool discoveryComplete() const override {
     if (Clock.now() - StartedAt >= Options.DiscoveryTimeout)
       return true;
     return !Others.empty() &&
-           std::ranges::all_of(Others, [](const auto &Entry) { return Entry.second.Discovered; });
+           std::ranges::all_of(Others, [](const auto &Entry) { return Entry.second.DiscoveryDone; });
   }
 
   [[nodiscard]] std::string placer() const override {
-    return best([](const known_vm &, const schema::vm_status &Vm) {
+    return highestRanked([](const known_vm &, const schema::vm_status &Vm) {
       return std::tuple(!Vm.draining(), -std::int64_t{Vm.pauses()}, Vm.strength(),
                         -static_cast<std::int64_t>(Vm.registration()));
     });
   }
 
   [[nodiscard]] std::string ownerOf(const std::string &Rack, const std::string &Domain) const override {
-    return best([&](const known_vm &, const schema::vm_status &Vm) {
+    return highestRanked([&](const known_vm &, const schema::vm_status &Vm) {
       return std::tuple(!Vm.draining(), Vm.domain() == Domain, score(Rack, Vm));
     });
   }
 
   [[nodiscard]] std::string dispatcherFor(std::uint64_t Job, const std::string &Domain) const override {
     std::string_view Key(reinterpret_cast<const char *>(&Job), sizeof(Job));
-    std::string Best = best([&](const known_vm &Known, const schema::vm_status &Vm) {
+    std::string Best = highestRanked([&](const known_vm &OtherVm, const schema::vm_status &Vm) {
       bool IsOther = Vm.vm() != Self.vm();
-      return std::tuple(IsOther, !Vm.draining() && !Known.Broken, Vm.domain() == Domain, score(Key, Vm));
+      return std::tuple(IsOther, !Vm.draining() && !OtherVm.ConnectionBroken, Vm.domain() == Domain,
+                        score(Key, Vm));
     });
     return Best == Self.vm() ? std::string() : Best;
   }
@@ -188,63 +189,63 @@
 
 private:
   [[nodiscard]] bool withinLease(const known_vm &Vm) const {
-    return Clock.sinceBoot() < Vm.AnsweredAt + Options.Lease;
+    return Clock.sinceBoot() < Vm.LastAnsweredHeartbeat + Options.ContactLease;
   }
 
   // Contact with some VM may end at this time.
-  void noteEnd(time_point End) { NextEnd = std::min(NextEnd, End); }
+  void updateNextExpiry(time_point End) { NextExpiry = std::min(NextExpiry, End); }
 
   // What was in contact stays so only by the echo of a VM that counts on this one.
-  void noteEcho(known_vm &Vm, const schema::vm_status &Status) {
+  void processEcho(known_vm &Vm, const schema::vm_status &Status) {
     std::uint32_t Echo = Status.echo_ms() > 0 || Vm.InContact ? Status.echo_ms() : Status.greeting_echo_ms();
     if (Echo == 0)
       return;
-    auto ShownAt = OwnClock.shownAt(Echo, Options.Lease);
-    if (!ShownAt) {
+    auto SentAt = LocalClock.sentAt(Echo, Options.ContactLease);
+    if (!SentAt) {
       ++IgnoredEchoes;
       return;
     }
-    Vm.AnsweredAt = std::max(Vm.AnsweredAt, *ShownAt);
-    noteEnd(Vm.AnsweredAt + Options.Lease);
+    Vm.LastAnsweredHeartbeat = std::max(Vm.LastAnsweredHeartbeat, *SentAt);
+    updateNextExpiry(Vm.LastAnsweredHeartbeat + Options.ContactLease);
   }
 
   // Tells whether the VM was in contact.
-  bool end(known_vm &Vm) {
-    Vm.Broken = false;
+  bool resetContact(known_vm &Vm) {
+    Vm.ConnectionBroken = false;
     Vm.ClockMs = 0;
-    Vm.AnsweredAt = time_point::min();
-    bool WasAlive = std::exchange(Vm.InContact, false);
-    noteChange(WasAlive);
-    return WasAlive;
+    Vm.LastAnsweredHeartbeat = time_point::min();
+    bool WasInContact = std::exchange(Vm.InContact, false);
+    bumpVersionIf(WasInContact);
+    return WasInContact;
   }
 
-  void noteChange(bool Changed) { Version += Changed ? 1 : 0; }
+  void bumpVersionIf(bool Changed) { Version += Changed ? 1 : 0; }
 
   // The dispatching VM of the highest rank; empty when there is none.
-  template <typename Ranking> [[nodiscard]] std::string best(Ranking RankOf) const {
+  template <typename Ranking> [[nodiscard]] std::string highestRanked(Ranking RankOf) const {
     const schema::vm_status *Best = nullptr;
     decltype(RankOf(known_vm(), Self)) BestRank;
-    auto Consider = [&](const known_vm &Known, const schema::vm_status &Status) {
-      auto Rank = RankOf(Known, Status);
+    auto Consider = [&](const known_vm &OtherVm, const schema::vm_status &Status) {
+      auto Rank = RankOf(OtherVm, Status);
       if (!Best || Rank > BestRank) {
         Best = &Status;
         BestRank = Rank;
       }
     };
-    if (mayLead(Self))
+    if (isEligible(Self))
       Consider(known_vm(), Self);
     for (const auto &[Name, Vm] : Others)
-      if (Vm.InContact && mayLead(Vm.Status))
+      if (Vm.InContact && isEligible(Vm.Status))
         Consider(Vm, Vm.Status);
     return Best ? Best->vm() : std::string();
   }
 
   const runtime::clock &Clock;
   fleet_view_options Options;
-  contact_clock OwnClock;
+  contact_clock LocalClock;
   time_point StartedAt;
   // No contact ends before, by the clock that counts suspension.
-  time_point NextEnd = time_point::max();
+  time_point NextExpiry = time_point::max();
   std::uint64_t IgnoredEchoes = 0;
   schema::vm_status Self;
   std::uint32_t Term = 0;
--- a/src/yuccaplank/dispatch/fleet_view_test.cpp
+++ b/src/yuccaplank/dispatch/fleet_view_test.cpp
@@ -28,14 +28,14 @@
 // A status that answers the view's latest heartbeat.
 schema::vm_status answering(const fleet_view &View, schema::vm_status Status) {
   schema::vm_status Own;
-  View.stamp(Status.vm(), Own);
+  View.setClocks(Status.vm(), Own);
   Status.set_clock_ms(5000);
   Status.set_echo_ms(Own.clock_ms());
   return Status;
 }
 
 std::vector<view_change> hear(fleet_view &View, const schema::vm_status &Status) {
-  return View.heard(answering(View, Status));
+  return View.onStatus(answering(View, Status));
 }
 
 // Guards against two VMs of one view with different roles, and against a restarted VM that takes a role back.
@@ -57,8 +57,8 @@
     CPPUNIT_ASSERT_EQUAL(std::string("b"), View->placer());
   }
   if (auto When = section("given VMs that relay or are not registered, they have no role")) {
-    View->lost("b");
-    View->lost("c");
+    View->endContact("b");
+    View->endContact("c");
     auto Relaying = statusOf("d", "d2", 2);
     Relaying.set_role(schema::VM_RELAYS);
     hear(*View, Relaying);
@@ -69,7 +69,7 @@
   }
   if (auto When = section("given a job to relay, a VM of the own domain takes it, or another one")) {
     CPPUNIT_ASSERT_EQUAL(std::string("b"), View->dispatcherFor(7, "d1"));
-    View->lost("b");
+    View->endContact("b");
     CPPUNIT_ASSERT_EQUAL(std::string("c"), View->dispatcherFor(7, "d1"));
   }
   if (auto When = section("given racks of a domain with VMs, one of these owns them, each some")) {
@@ -81,7 +81,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("c"), View->ownerOf("r1", "d2"));
   }
   if (auto When = section("given a domain whose VM is lost, another domain's VM owns its racks")) {
-    View->lost("c");
+    View->endContact("c");
     CPPUNIT_ASSERT(!View->ownerOf("r1", "d2").empty());
   }
   if (auto When = section("given a placer that drains, the next oldest places")) {
@@ -95,8 +95,8 @@
     auto Draining = statusOf("a", "d1", 7);
     Draining.set_draining(true);
     View->setSelf(Draining);
-    View->lost("b");
-    View->lost("c");
+    View->endContact("b");
+    View->endContact("c");
     CPPUNIT_ASSERT_EQUAL(std::string("a"), View->placer());
     CPPUNIT_ASSERT_EQUAL(std::string("a"), View->ownerOf("r1", "d1"));
   }
@@ -122,7 +122,7 @@
     CPPUNIT_ASSERT(View->tick().at(0).Kind == view_change::kind::Lost);
   }
   if (auto When = section("after a broken connection it has 250 ms")) {
-    View->broken("b");
+    View->onConnectionBroken("b");
     if (auto Then = section("and is resumed when heard")) {
       CPPUNIT_ASSERT(hear(*View, statusOf("b", "d1", 2)).at(0).Kind == view_change::kind::Resumed);
     }
@@ -142,21 +142,21 @@
   View->setSelf(statusOf("a", "d1", 1));
   auto Early = answering(*View, statusOf("b", "d1", 2));
   if (auto When = section("a status that answers nothing begins no contact")) {
-    CPPUNIT_ASSERT(View->heard(statusOf("b", "d1", 2)).empty());
+    CPPUNIT_ASSERT(View->onStatus(statusOf("b", "d1", 2)).empty());
     CPPUNIT_ASSERT(!View->inContact("b"));
     if (auto Then = section("its clock is echoed as a greeting")) {
       auto Greeting = statusOf("b", "d1", 2);
       Greeting.set_clock_ms(5000);
-      View->heard(Greeting);
+      View->onStatus(Greeting);
       schema::vm_status Own;
-      View->stamp("b", Own);
+      View->setClocks("b", Own);
       CPPUNIT_ASSERT_EQUAL(5000U, Own.greeting_echo_ms());
       CPPUNIT_ASSERT_EQUAL(0U, Own.echo_ms());
     }
   }
   if (auto When = section("an answer that is read late leaves less time")) {
     Clock.advance(milliseconds(400));
-    CPPUNIT_ASSERT(View->heard(Early).at(0).Kind == view_change::kind::Found);
+    CPPUNIT_ASSERT(View->onStatus(Early).at(0).Kind == view_change::kind::Found);
     Clock.advance(milliseconds(158));
     CPPUNIT_ASSERT(View->tick().empty());
     Clock.advance(milliseconds(2));
@@ -164,31 +164,31 @@
   }
   if (auto When = section("an answer that is read too late begins no contact and is counted")) {
     Clock.advance(milliseconds(560));
-    CPPUNIT_ASSERT(View->heard(Early).empty());
+    CPPUNIT_ASSERT(View->onStatus(Early).empty());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, View->ignoredEchoes());
   }
   if (auto When = section("the same answer twice prolongs nothing")) {
-    View->heard(Early);
+    View->onStatus(Early);
     Clock.advance(milliseconds(500));
-    View->heard(Early);
+    View->onStatus(Early);
     Clock.advance(milliseconds(60));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, View->tick().size());
   }
   if (auto When = section("a VM that no longer counts on this one does not prolong contact")) {
-    View->heard(Early);
+    View->onStatus(Early);
     Clock.advance(milliseconds(500));
     auto Greeting = answering(*View, statusOf("b", "d1", 2));
     Greeting.set_greeting_echo_ms(Greeting.echo_ms());
     Greeting.clear_echo_ms();
-    CPPUNIT_ASSERT(View->heard(Greeting).empty());
+    CPPUNIT_ASSERT(View->onStatus(Greeting).empty());
     Clock.advance(milliseconds(60));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, View->tick().size());
   }
   if (auto When = section("after a loss, what was heard before is not echoed")) {
-    View->heard(Early);
-    View->lost("b");
+    View->onStatus(Early);
+    View->endContact("b");
     schema::vm_status Own;
-    View->stamp("b", Own);
+    View->setClocks("b", Own);
     CPPUNIT_ASSERT_EQUAL(0U, Own.echo_ms() + Own.greeting_echo_ms());
   }
 });
@@ -198,12 +198,12 @@
   runtime::manual_clock Clock;
   auto View = makeFleetView(Clock);
   View->setSelf(statusOf("a", "d1", 1));
-  View->learn("b", "b:1");
-  View->learn("c", "c:1");
+  View->addAddress("b", "b:1");
+  View->addAddress("c", "c:1");
   hear(*View, statusOf("b", "d1", 2));
   CPPUNIT_ASSERT(!View->discoveryComplete());
   if (auto When = section("it ends when each known VM was heard or is out of reach")) {
-    View->unreachable("c:1");
+    View->onAddressUnreachable("c:1");
     CPPUNIT_ASSERT(View->discoveryComplete());
     if (auto Then = section("and begins again after a pause")) {
       View->restartDiscovery();
--- a/src/yuccaplank/dispatch/lease_clock.hpp
+++ b/src/yuccaplank/dispatch/lease_clock.hpp
@@ -15,37 +15,37 @@
   lease_clock(double Drift, runtime::duration Error) : Drift(Drift), Error(Error) {}
 
   /// The server's clock, as told by a reply that has just arrived.
-  void note(runtime::time_point Now, const std::optional<std::int64_t> &ClockMs) {
+  void setServerClock(runtime::time_point Now, const std::optional<std::int64_t> &ClockMs) {
     if (!ClockMs)
       return;
     ServerMs = *ClockMs;
-    NotedAt = Now;
+    UpdatedAt = Now;
   }
 
   /// A lease has been given of this length at most, by this VM or a former owner.
-  void noteLease(runtime::time_point Now, runtime::duration Lease) {
+  void onLeaseGranted(runtime::time_point Now, runtime::duration Lease) {
     auto Guard = std::chrono::duration_cast<runtime::duration>(Lease * (1 + Drift)) + Error;
-    OverAt = std::max(OverAt, Now + Guard);
+    ExpiresAt = std::max(ExpiresAt, Now + Guard);
   }
 
   /// Lease end, on the server's clock, for an order that is sent now.
   std::int64_t extend(runtime::time_point Now, runtime::duration Lease) {
-    noteLease(Now, Lease);
+    onLeaseGranted(Now, Lease);
     // A clock that is slow has not gone further than this; after seconds the difference exceeds Error.
-    auto SinceNoted = std::chrono::duration_cast<runtime::duration>((Now - NotedAt) * (1 - Drift));
-    auto Left = std::chrono::duration_cast<std::chrono::milliseconds>(SinceNoted + Lease);
+    auto SinceUpdate = std::chrono::duration_cast<runtime::duration>((Now - UpdatedAt) * (1 - Drift));
+    auto Left = std::chrono::duration_cast<std::chrono::milliseconds>(SinceUpdate + Lease);
     return ServerMs + Left.count();
   }
 
   /// When no run can be alive any more unless the lease is extended again.
-  [[nodiscard]] runtime::time_point overAt() const { return OverAt; }
+  [[nodiscard]] runtime::time_point expiresAt() const { return ExpiresAt; }
 
 private:
   double Drift;
   runtime::duration Error;
   std::int64_t ServerMs = 0;
-  runtime::time_point NotedAt{};
-  runtime::time_point OverAt{};
+  runtime::time_point UpdatedAt{};
+  runtime::time_point ExpiresAt{};
 };
 
 } // namespace yuccaplank::dispatch
--- a/src/yuccaplank/dispatch/owner_messages.cpp
+++ b/src/yuccaplank/dispatch/owner_messages.cpp
@@ -2,14 +2,14 @@
 
 namespace yuccaplank::dispatch {
 
-schema::run_event eventOf(run_end End) {
+schema::run_event toRunEvent(run_end End) {
   if (End == run_end::Done)
     return schema::RUN_DONE;
   return End == run_end::Failed ? schema::RUN_FAILED : schema::RUN_GONE;
 }
 
-schema::dispatch_message makeEvent(const run_key &Run, schema::run_event Event, const std::string &Server,
-                                   std::string_view Reason) {
+schema::dispatch_message makeTaskEvent(const run_key &Run, schema::run_event Event, const std::string &Server,
+                                       std::string_view Reason) {
   schema::dispatch_message Message;
   schema::task_event &Body = *Message.mutable_event();
   *Body.mutable_task() = toMessage(Run);
@@ -19,8 +19,8 @@
   return Message;
 }
 
-schema::dispatch_message makeAdoption(const std::string &Server, std::uint64_t Token,
-                                      const hold_reply &Found) {
+schema::dispatch_message makeAdoptRequest(const std::string &Server, std::uint64_t Token,
+                                          const hold_reply &Found) {
   schema::dispatch_message Message;
   schema::adopt_request &Request = *Message.mutable_adopt();
   Request.set_server(Server);
@@ -30,7 +30,7 @@
   for (const listed_end &End : Found.Ended) {
     schema::task_event &Event = *Request.add_ended();
     *Event.mutable_task() = toMessage(End.Run);
-    Event.set_event(eventOf(End.End));
+    Event.set_event(toRunEvent(End.End));
     Event.set_reason(std::string(runEndName(End.End)));
   }
   return Message;
--- a/src/yuccaplank/dispatch/owner_messages.hpp
+++ b/src/yuccaplank/dispatch/owner_messages.hpp
@@ -11,13 +11,13 @@
 namespace yuccaplank::dispatch {
 
 /// What an end means for the coordinator.
-schema::run_event eventOf(run_end End);
+schema::run_event toRunEvent(run_end End);
 
-schema::dispatch_message makeEvent(const run_key &Run, schema::run_event Event, const std::string &Server,
-                                   std::string_view Reason);
+schema::dispatch_message makeTaskEvent(const run_key &Run, schema::run_event Event, const std::string &Server,
+                                       std::string_view Reason);
 /// What a claim under a token has found on a server.
-schema::dispatch_message makeAdoption(const std::string &Server, std::uint64_t Token,
-                                      const hold_reply &Found);
+schema::dispatch_message makeAdoptRequest(const std::string &Server, std::uint64_t Token,
+                                          const hold_reply &Found);
 /// The sender no longer owns the server that it held under a token.
 schema::dispatch_message makeYield(const std::string &Server, std::uint64_t Token);
 
--- a/src/yuccaplank/dispatch/run_list_refresh.hpp
+++ b/src/yuccaplank/dispatch/run_list_refresh.hpp
@@ -14,9 +14,9 @@
   void request(runtime::time_point Now) { RequestedSince = Now; }
   [[nodiscard]] bool pending() const { return RequestedSince.has_value(); }
   /// A list has arrived that was asked for at this time; tells whether it is the one that was requested.
-  bool onList(runtime::time_point AskedAt) {
-    ListedAt = AskedAt;
-    if (!RequestedSince || AskedAt < *RequestedSince)
+  bool onList(runtime::time_point RequestedAt) {
+    ListedAt = RequestedAt;
+    if (!RequestedSince || RequestedAt < *RequestedSince)
       return false;
     RequestedSince.reset();
     return true;
--- a/src/yuccaplank/dispatch/run_table.cpp
+++ b/src/yuccaplank/dispatch/run_table.cpp
@@ -26,11 +26,11 @@
 }
 
 bool run_table::containsTask(const task_key &Task) const {
-  return std::ranges::any_of(Runs, [&](const auto &Each) { return Each.first.Task == Task; });
+  return std::ranges::any_of(Runs, [&](const auto &Entry) { return Entry.first.Task == Task; });
 }
 
 bool run_table::anyUnclaimed() const {
-  return std::ranges::any_of(Runs, [](const auto &Each) { return Each.second.Unclaimed; });
+  return std::ranges::any_of(Runs, [](const auto &Entry) { return Entry.second.Unclaimed; });
 }
 
 std::set<std::string> run_table::coordinators() const {
@@ -52,13 +52,13 @@
 runtime::time_point run_table::allowedUntil() const {
   runtime::time_point Until = runtime::time_point::max();
   for (const auto &[Run, State] : Runs)
-    if (State.Phase != run_phase::Voided)
+    if (State.Phase != run_phase::StopConfirmed)
       Until = std::min(Until, State.AllowedUntil);
   return Until;
 }
 
-std::vector<run_key> run_table::missingIn(const std::vector<run_key> &Listed,
-                                          runtime::time_point Sent) const {
+std::vector<run_key> run_table::missingFrom(const std::vector<run_key> &Listed,
+                                            runtime::time_point Sent) const {
   std::set<run_key> Present(Listed.begin(), Listed.end());
   std::vector<run_key> Result;
   for (const auto &[Run, State] : Runs)
@@ -67,10 +67,10 @@
   return Result;
 }
 
-std::vector<run_key> run_table::lapsing(bool IncludeOpen) const {
+std::vector<run_key> run_table::runsEndingWithLease(bool IncludePendingStarts) const {
   std::vector<run_key> Result;
   for (const auto &[Run, State] : Runs)
-    if (!State.StartOpen || IncludeOpen)
+    if (!State.StartPending || IncludePendingStarts)
       Result.push_back(Run);
   return Result;
 }
--- a/src/yuccaplank/dispatch/run_table.hpp
+++ b/src/yuccaplank/dispatch/run_table.hpp
@@ -21,7 +21,7 @@
   /// The stop order has no answer yet.
   Stopping,
   /// Void at the server: either its end will be listed or it never ran.
-  Voided,
+  StopConfirmed,
 };
 
 struct server_run {
@@ -42,7 +42,7 @@
   /// Found at a take-over and claimed by no coordinator yet; its size is not known.
   bool Unclaimed = false;
   /// Whether the start may still be carried out, however late.
-  bool StartOpen = true;
+  bool StartPending = true;
   std::string StopReason;
 };
 
@@ -74,10 +74,10 @@
   /// runs.
   [[nodiscard]] runtime::time_point allowedUntil() const;
   /// Runs that a list lacks which was made after Sent, and so do not run.
-  [[nodiscard]] std::vector<run_key> missingIn(const std::vector<run_key> &Listed,
-                                               runtime::time_point Sent) const;
+  [[nodiscard]] std::vector<run_key> missingFrom(const std::vector<run_key> &Listed,
+                                                 runtime::time_point Sent) const;
   /// Runs that end with their lease; of those whose start is open, only with IncludeOpen.
-  [[nodiscard]] std::vector<run_key> lapsing(bool IncludeOpen) const;
+  [[nodiscard]] std::vector<run_key> runsEndingWithLease(bool IncludePendingStarts) const;
 
 private:
   map Runs;
--- a/src/yuccaplank/dispatch/server_health.hpp
+++ b/src/yuccaplank/dispatch/server_health.hpp
@@ -14,8 +14,8 @@
 /// for a time that doubles, and afterwards one run at a time until one is done.
 class server_health {
 public:
-  server_health(std::uint32_t FailuresToQuarantine, runtime::duration First, runtime::duration Longest)
-      : FailuresToQuarantine(FailuresToQuarantine), First(First), Longest(Longest) {}
+  server_health(std::uint32_t FailuresToQuarantine, runtime::duration Initial, runtime::duration Max)
+      : FailuresToQuarantine(FailuresToQuarantine), Initial(Initial), Max(Max) {}
 
   /// Natural logarithm of run time divided by declared time.
   [[nodiscard]] double slowness() const { return Slowness; }
@@ -30,7 +30,7 @@
     if (DeclaredMs == 0)
       return;
     ++Observations;
-    double Weight = std::max(1.0 / (Observations + PriorWeight), SmallestWeight);
+    double Weight = std::max(1.0 / (Observations + PriorWeight), MinWeight);
     Slowness += Weight * (std::log(std::max(TookMs, 1.0) / DeclaredMs) - Slowness);
   }
 
@@ -39,14 +39,14 @@
     ++Failures;
     if (QuarantinedUntil || (!Probation && Failures < FailuresToQuarantine))
       return false;
-    QuarantinedUntil = Now + std::min(First * (1U << std::min(Quarantines, 4U)), Longest);
+    QuarantinedUntil = Now + std::min(Initial * (1U << std::min(Quarantines, 4U)), Max);
     ++Quarantines;
     Probation = true;
     return true;
   }
 
   /// Ends a quarantine whose time is over; tells whether it did.
-  bool quarantineOver(runtime::time_point Now) {
+  bool endExpiredQuarantine(runtime::time_point Now) {
     if (!QuarantinedUntil || Now < *QuarantinedUntil)
       return false;
     QuarantinedUntil.reset();
@@ -57,11 +57,11 @@
   // Observations that the assumption of an ordinary speed is worth.
   static constexpr double PriorWeight = 1;
   // Forgets a server's former speed within about ten runs.
-  static constexpr double SmallestWeight = 0.1;
+  static constexpr double MinWeight = 0.1;
 
   std::uint32_t FailuresToQuarantine;
-  runtime::duration First;
-  runtime::duration Longest;
+  runtime::duration Initial;
+  runtime::duration Max;
   double Slowness = 0;
   double Observations = 0;
   std::uint32_t Failures = 0;
--- a/src/yuccaplank/dispatch/server_ledger.cpp
+++ b/src/yuccaplank/dispatch/server_ledger.cpp
@@ -33,16 +33,16 @@
   Owned,
 };
 
-constexpr unsigned MaxFencedSteps = 16;
+constexpr unsigned MaxTokenStepDoublings = 16;
 // A start order with less time would mostly be refused.
-constexpr auto ShortestStartTime = std::chrono::milliseconds(20);
+constexpr auto MinStartDelay = std::chrono::milliseconds(20);
 
 class server_ledger_impl final : public server_ledger {
 public:
   server_ledger_impl(runtime::executor &Executor, ledger_ports &Ports, server_entry EntryIn,
                      ledger_options Options)
       : Executor(Executor), Ports(Ports), Entry(std::move(EntryIn)), Options(Options),
-        Health(Options.FailuresToQuarantine, Options.FirstQuarantine, Options.LongestQuarantine),
+        Health(Options.FailuresToQuarantine, Options.InitialQuarantine, Options.MaxQuarantine),
         Clock(Options.ClockDrift, Options.ClockError), Limits(Options) {}
   server_ledger_impl(const server_ledger_impl &) = delete;
   server_ledger_impl &operator=(const server_ledger_impl &) = delete;
@@ -55,14 +55,14 @@
     sendClaim();
   }
 
-  void onClaimedElsewhere(std::uint64_t ItsToken) override {
-    if (ItsToken < Token) {
+  void onClaimedElsewhere(std::uint64_t OtherToken) override {
+    if (OtherToken < Token) {
       // A server that has taken an earlier claim has forgotten this one.
       if (Ownership == ownership::Owned)
         requestRunList();
       return;
     }
-    HighestToken = std::max(HighestToken, ItsToken);
+    HighestOtherToken = std::max(HighestOtherToken, OtherToken);
     ReclaimAfter = now() + Options.ReclaimDelayInContact;
     release();
   }
@@ -70,7 +70,7 @@
   void requestRunList() override {
     ListRefresh.request(now());
     Ports.onCapacityChanged(Entry.Target.Id);
-    keepHolding();
+    sendHoldIfNeeded();
   }
 
   void release() override {
@@ -78,7 +78,7 @@
       return;
     Ownership = ownership::None;
     OwnershipLifetime.renew();
-    yieldRuns();
+    sendYields();
     Runs.clear();
     HoldPending = false;
     ListRefresh.reset();
@@ -101,18 +101,18 @@
     Ports.onCapacityChanged(Entry.Target.Id);
   }
 
-  [[nodiscard]] bool finished() const override { return Delisted && Runs.empty(); }
+  [[nodiscard]] bool mayBeRemoved() const override { return Delisted && Runs.empty(); }
 
   void start(const std::string &Coordinator, const schema::start_task &Request) override {
     run_key Run = keyOf(Request.task());
     if (fenceMayBeLost())
       requestRunList();
-    if (const char *Refusal = refusalOf(Request)) {
+    if (const char *Refusal = startRefusalReason(Request)) {
       refuse(Coordinator, Run, Refusal);
       return;
     }
-    duration StartTime = Limits.timeToStart(Ports.answeredAt(Coordinator), sinceBoot());
-    if (StartTime < ShortestStartTime) {
+    duration StartDelay = Limits.maxStartDelay(Ports.lastAnsweredHeartbeat(Coordinator), sinceBoot());
+    if (StartDelay < MinStartDelay) {
       refuse(Coordinator, Run, "contact_nearly_over");
       return;
     }
@@ -124,11 +124,11 @@
     Started.StartedAt = now();
     ++Ports.counters().Started;
     // The server refuses the order when it arrives after its coordinator may have given it up.
-    start_order Order{Run, Request.specification(), Token, Clock.extend(now(), StartTime)};
+    start_order Order{Run, Request.specification(), Token, Clock.extend(now(), StartDelay)};
     Ports.orders().start(
         Entry.Target, std::move(Order),
         OwnershipLifetime.guard([this, Run](const order_reply &Reply) { onStartReply(Run, Reply); }));
-    keepHolding();
+    sendHoldIfNeeded();
   }
 
   void stop(const std::string &Coordinator, const run_key &Run) override {
@@ -159,7 +159,7 @@
   bool resendAdoption(const std::string &Coordinator) override {
     if (Ownership != ownership::Adopting)
       return false;
-    Ports.send(Coordinator, Adoption);
+    Ports.send(Coordinator, AdoptRequest);
     return true;
   }
 
@@ -170,22 +170,22 @@
   }
 
   void resume(const std::string &Coordinator, const schema::resume_session &Session) override {
-    std::set<run_key> Counted;
+    std::set<run_key> ExpectedRuns;
     for (const schema::counted_run &Run : Session.runs())
-      Counted.insert(keyOf(Run.task()));
+      ExpectedRuns.insert(keyOf(Run.task()));
     for (auto &[Run, State] : Runs) {
-      bool IsCounted = Counted.contains(Run);
+      bool IsExpected = ExpectedRuns.contains(Run);
       // The end of a run that was found at a take-over is told to the coordinator that asks for it late.
-      if (State.Coordinator.empty() && IsCounted && Ownership == ownership::Owned)
+      if (State.Coordinator.empty() && IsExpected && Ownership == ownership::Owned)
         State.Coordinator = Coordinator;
-      if (State.Coordinator == Coordinator && !IsCounted)
+      if (State.Coordinator == Coordinator && !IsExpected)
         stopRun(Run, State, "not_counted_on");
     }
   }
 
   [[nodiscard]] bool idle() const override { return Runs.empty(); }
-  [[nodiscard]] bool holds(const run_key &Run) const override { return Runs.contains(Run); }
-  [[nodiscard]] std::uint64_t token() const override { return std::max(Token, HighestToken); }
+  [[nodiscard]] bool containsRun(const run_key &Run) const override { return Runs.contains(Run); }
+  [[nodiscard]] std::uint64_t highestToken() const override { return std::max(Token, HighestOtherToken); }
   [[nodiscard]] bool owned() const override { return Ownership == ownership::Owned; }
   [[nodiscard]] bool unowned() const override { return Ownership == ownership::None; }
 
@@ -207,34 +207,36 @@
 
   void tick() override {
     time_point Now = now();
-    std::erase_if(OpenStarts, [&](const auto &Each) { return Now - Each.second > Options.LateOrderTime; });
+    std::erase_if(UnansweredStarts,
+                  [&](const auto &Start) { return Now - Start.second > Options.MaxOrderDelay; });
     if (Ownership == ownership::None)
       return;
-    endLapsedRuns(Now);
+    endExpiredRuns(Now);
     stopOverdueRuns(Now);
-    if (Health.quarantineOver(Now))
+    if (Health.endExpiredQuarantine(Now))
       Ports.onCapacityChanged(Entry.Target.Id);
   }
 
 private:
   [[nodiscard]] time_point now() const { return Executor.clock().now(); }
 
-  void later(duration Delay, std::function<void()> Function) {
+  void runAfter(duration Delay, std::function<void()> Function) {
     Executor.after(Delay, OwnershipLifetime.guard(std::move(Function)));
   }
 
   [[nodiscard]] bool usable() const {
     return Ownership == ownership::Owned && !ListRefresh.pending() && !Delisted && !Entry.Draining &&
-           Answering && Health.usable();
+           Responsive && Health.usable();
   }
 
   // A VM out of contact may have claimed the server after it was born again.
   [[nodiscard]] bool fenceMayBeLost() const {
     duration Wait = Runs.empty() ? duration::zero() : Options.HoldWait;
-    return Ownership == ownership::Owned && ListRefresh.mayHaveRestarted(now(), Wait) && Ports.ownerMissing();
+    return Ownership == ownership::Owned && ListRefresh.mayHaveRestarted(now(), Wait) &&
+           Ports.anyOwnerOutOfContact();
   }
 
-  const char *refusalOf(const schema::start_task &Request) const {
+  const char *startRefusalReason(const schema::start_task &Request) const {
     if (!usable())
       return "server_unusable";
     if (Request.token() != Token)
@@ -256,7 +258,7 @@
   void report(const std::string &Coordinator, const run_key &Run, schema::run_event Event,
               std::string_view Reason) {
     if (!Coordinator.empty())
-      Ports.send(Coordinator, makeEvent(Run, Event, Entry.Target.Id, Reason));
+      Ports.send(Coordinator, makeTaskEvent(Run, Event, Entry.Target.Id, Reason));
   }
 
   // Removes a run of which is certain that it does not run.
@@ -281,8 +283,8 @@
   // Lease for all runs, as long as each coordinator allows.
   std::optional<std::int64_t> extendLease() {
     for (auto &[Run, State] : Runs)
-      Limits.note(State, Ports.answeredAt(State.Coordinator));
-    auto Lease = Limits.lease(Runs.allowedUntil(), sinceBoot());
+      Limits.updateAllowedUntil(State, Ports.lastAnsweredHeartbeat(State.Coordinator));
+    auto Lease = Limits.leaseDuration(Runs.allowedUntil(), sinceBoot());
     if (!Lease)
       return std::nullopt;
     return Clock.extend(now(), *Lease);
@@ -292,7 +294,7 @@
 
   void sendClaim() {
     // Each claim has a token of its own, so that orders under an earlier claim can be told apart.
-    Token = Ports.fencingToken(std::max(HighestToken, Token));
+    Token = Ports.fencingToken(std::max(HighestOtherToken, Token));
     hold_order Order;
     Order.FencingToken = Token;
     Ports.orders().hold(Entry.Target, Order,
@@ -305,14 +307,15 @@
           {{"server", Entry.Target.Id}, {"token", static_cast<std::int64_t>(Token)}});
       // The server does not tell its fence; doubled steps reach it soon even if all VMs have forgotten their
       // terms.
-      HighestToken = Token + (std::uint64_t{1} << (TermShift + std::min(FencedClaims++, MaxFencedSteps)));
-      later(Options.FencedDelay, [this] { sendClaim(); });
+      HighestOtherToken =
+          Token + (std::uint64_t{1} << (TermShift + std::min(FencedClaims++, MaxTokenStepDoublings)));
+      runAfter(Options.FencedClaimDelay, [this] { sendClaim(); });
       return;
     }
     if (Reply.Outcome != order_outcome::Accepted) {
       log(log_level::Warning, "claim_unanswered",
           {{"server", Entry.Target.Id}, {"outcome", std::string(orderOutcomeName(Reply.Outcome))}});
-      later(Options.RepeatDelay * 3, [this] { sendClaim(); });
+      runAfter(Options.OrderRetryDelay * 3, [this] { sendClaim(); });
       return;
     }
     log(log_level::Info, "server_claimed",
@@ -320,36 +323,36 @@
          {"token", static_cast<std::int64_t>(Token)},
          {"running", static_cast<std::int64_t>(Reply.Running.size())},
          {"ended", static_cast<std::int64_t>(Reply.Ended.size())}});
-    Clock.note(now(), Reply.ClockMs);
+    Clock.setServerClock(now(), Reply.ClockMs);
     ListRefresh.onList(now());
     IncarnationStartMs = Reply.IncarnationStartMs;
     FencedClaims = 0;
-    Answering = true;
-    Observed = 0;
-    AcknowledgedEnds = 0;
+    Responsive = true;
+    LastObservedEnd = 0;
+    LastAcknowledgedEnd = 0;
     for (const listed_end &End : Reply.Ended)
-      Observed = std::max(Observed, End.Number);
+      LastObservedEnd = std::max(LastObservedEnd, End.Number);
     beginAdoption(Reply);
   }
 
   void beginAdoption(const hold_reply &Reply) {
     Ownership = ownership::Adopting;
-    Clock.noteLease(now(), Options.Lease);
-    Adoption = makeAdoption(Entry.Target.Id, Token, Reply);
+    Clock.onLeaseGranted(now(), Options.LeaseDuration);
+    AdoptRequest = makeAdoptRequest(Entry.Target.Id, Token, Reply);
     for (const run_key &Run : Reply.Running) {
-      server_run &Found = Runs[Run];
-      Found.Unclaimed = true;
-      Found.Phase = run_phase::Running;
-      Found.StartOpen = false;
-      Found.StartedAt = now();
-      Found.ConfirmedAt = now();
+      server_run &State = Runs[Run];
+      State.Unclaimed = true;
+      State.Phase = run_phase::Running;
+      State.StartPending = false;
+      State.StartedAt = now();
+      State.ConfirmedAt = now();
     }
-    Ports.broadcast(Adoption);
+    Ports.broadcast(AdoptRequest);
     if (Runs.empty()) {
       endAdoption();
       return;
     }
-    later(Options.AdoptionTime, [this] { endAdoption(); });
+    runAfter(Options.AdoptionTimeout, [this] { endAdoption(); });
   }
 
   void endAdoption() {
@@ -362,18 +365,18 @@
         State.Size = Entry.Capacity;
         stopRun(Run, State, "unclaimed");
       }
-    keepHolding();
+    sendHoldIfNeeded();
     Ports.onCapacityChanged(Entry.Target.Id);
   }
 
-  void yieldRuns() {
+  void sendYields() {
     for (const std::string &Coordinator : Runs.coordinators())
       Ports.send(Coordinator, makeYield(Entry.Target.Id, Token));
   }
 
   void loseOwnership() {
     ReclaimAfter = now() + Options.ReclaimDelay;
-    HighestToken = std::max(HighestToken, Token);
+    HighestOtherToken = std::max(HighestOtherToken, Token);
     log(log_level::Warning, "server_fenced_off",
         {{"server", Entry.Target.Id}, {"token", static_cast<std::int64_t>(Token)}});
     release();
@@ -382,8 +385,8 @@
   // Starts.
 
   // The run that a reply is about; null when it is gone, or this VM's ownership with it.
-  server_run *answeredRun(const run_key &Run, const order_reply &Reply) {
-    Clock.note(now(), Reply.ClockMs);
+  server_run *findAnsweredRun(const run_key &Run, const order_reply &Reply) {
+    Clock.setServerClock(now(), Reply.ClockMs);
     if (Reply.Outcome == order_outcome::Fenced) {
       loseOwnership();
       return nullptr;
@@ -392,35 +395,35 @@
   }
 
   void onStartReply(const run_key &Run, const order_reply &Reply) {
-    server_run *Found = answeredRun(Run, Reply);
+    server_run *Found = findAnsweredRun(Run, Reply);
     if (!Found)
       return;
     server_run &State = *Found;
     if (Reply.Outcome == order_outcome::Accepted) {
-      State.StartOpen = false;
+      State.StartPending = false;
       State.ConfirmedAt = now();
       if (State.Phase == run_phase::Starting)
         State.Phase = run_phase::Running;
       return;
     }
     if (Reply.Outcome == order_outcome::NoAnswer) {
-      ++Ports.counters().NoAnswers;
-      OpenStarts[Run] = now();
+      ++Ports.counters().UnansweredOrders;
+      UnansweredStarts[Run] = now();
       stopRun(Run, State, "start_unanswered");
       return;
     }
     if (Reply.Outcome == order_outcome::OtherIncarnation) {
       endRun(Run, schema::RUN_NOT_STARTED, orderOutcomeName(Reply.Outcome));
-      onReplaced();
+      onServerReplaced();
       return;
     }
-    noteRefusal(Reply.Outcome);
+    onStartRefused(Reply.Outcome);
     endRun(Run, schema::RUN_NOT_STARTED, orderOutcomeName(Reply.Outcome));
   }
 
-  void noteRefusal(order_outcome Outcome) {
-    noteNotSent(Outcome);
-    keepHolding();
+  void onStartRefused(order_outcome Outcome) {
+    requestRunListIfNotSent(Outcome);
+    sendHoldIfNeeded();
     if (Outcome == order_outcome::Unhealthy || Outcome == order_outcome::NotSent)
       Health.onFailure(now());
   }
@@ -428,7 +431,7 @@
   // Stops. They are repeated until answered, since a start without an answer may be carried out much later.
 
   void stopRun(const run_key &Run, server_run &State, const char *Reason) {
-    if (State.Phase == run_phase::Stopping || State.Phase == run_phase::Voided)
+    if (State.Phase == run_phase::Stopping || State.Phase == run_phase::StopConfirmed)
       return;
     State.Phase = run_phase::Stopping;
     State.StopReason = Reason;
@@ -443,26 +446,26 @@
     Ports.orders().stop(
         Entry.Target, Run, Token,
         OwnershipLifetime.guard([this, Run](const order_reply &Reply) { onStopReply(Run, Reply); }));
-    keepHolding();
+    sendHoldIfNeeded();
   }
 
   void onStopReply(const run_key &Run, const order_reply &Reply) {
-    server_run *Found = answeredRun(Run, Reply);
+    server_run *Found = findAnsweredRun(Run, Reply);
     if (!Found)
       return;
     if (Reply.Outcome == order_outcome::Accepted || Reply.Outcome == order_outcome::Superseded) {
-      Found->Phase = run_phase::Voided;
-      Found->StartOpen = false;
+      Found->Phase = run_phase::StopConfirmed;
+      Found->StartPending = false;
       Found->ConfirmedAt = now();
-      keepHolding();
+      sendHoldIfNeeded();
       return;
     }
     if (Reply.Outcome == order_outcome::OtherIncarnation) {
-      onReplaced();
+      onServerReplaced();
       return;
     }
-    ++Ports.counters().NoAnswers;
-    later(Options.RepeatDelay, [this, Run] {
+    ++Ports.counters().UnansweredOrders;
+    runAfter(Options.OrderRetryDelay, [this, Run] {
       if (Runs.contains(Run))
         sendStop(Run);
     });
@@ -470,19 +473,19 @@
 
   // Holds: renew the lease, learn of ends, acknowledge them.
 
-  void keepHolding() {
+  void sendHoldIfNeeded() {
     if (HoldPending || Ownership != ownership::Owned)
       return;
-    if (Runs.empty() && AcknowledgedEnds >= Observed && !ListRefresh.pending())
+    if (Runs.empty() && LastAcknowledgedEnd >= LastObservedEnd && !ListRefresh.pending())
       return;
     hold_order Order;
     Order.FencingToken = Token;
-    Order.Observed = Observed;
+    Order.Observed = LastObservedEnd;
     if (!Runs.empty()) {
       Order.Wait = Options.HoldWait;
       // A server that does not answer gets no longer lease, so that its runs have an end that can be
       // computed.
-      if (Answering)
+      if (Responsive)
         Order.LeaseEndMs = extendLease();
     }
     sendHold(Order);
@@ -504,84 +507,84 @@
       return;
     }
     if (Reply.Outcome == order_outcome::OtherIncarnation) {
-      onReplaced();
+      onServerReplaced();
       return;
     }
     if (Reply.Outcome != order_outcome::Accepted) {
       onHoldFailed(Reply.Outcome);
       return;
     }
-    Clock.note(now(), Reply.ClockMs);
+    Clock.setServerClock(now(), Reply.ClockMs);
     UnansweredHolds = 0;
-    setAnswering(true);
+    setResponsive(true);
     if (Reply.IncarnationStartMs != IncarnationStartMs)
       onNewIncarnation(Reply);
     else
-      AcknowledgedEnds = std::max(AcknowledgedEnds, Order.Observed);
+      LastAcknowledgedEnd = std::max(LastAcknowledgedEnd, Order.Observed);
     for (const listed_end &End : Reply.Ended)
-      onEnd(End);
+      onListedEnd(End);
     endMissingRuns(Sent, Reply.Running);
     stopUnknownRuns(Reply.Running);
     if (ListRefresh.onList(Sent))
       Ports.onCapacityChanged(Entry.Target.Id);
-    keepHolding();
+    sendHoldIfNeeded();
   }
 
   // The server may have ended and been born again, and has forgotten its fence then.
-  void noteNotSent(order_outcome Outcome) {
+  void requestRunListIfNotSent(order_outcome Outcome) {
     if (Outcome == order_outcome::NotSent)
       ListRefresh.request(now());
   }
 
   void onHoldFailed(order_outcome Outcome) {
-    ++Ports.counters().NoAnswers;
-    noteNotSent(Outcome);
+    ++Ports.counters().UnansweredOrders;
+    requestRunListIfNotSent(Outcome);
     // One reply that is lost or late says little of the server.
-    if (Answering && ++UnansweredHolds < Options.HoldsToSilence) {
-      keepHolding();
+    if (Responsive && ++UnansweredHolds < Options.UnansweredHoldLimit) {
+      sendHoldIfNeeded();
       return;
     }
-    if (Answering)
+    if (Responsive)
       log(log_level::Warning, "server_silent",
           {{"server", Entry.Target.Id},
            {"outcome", std::string(orderOutcomeName(Outcome))},
            {"runs", static_cast<std::int64_t>(Runs.size())},
-           {"lease_left_ms", runtime::toMs(Clock.overAt() - now())}});
-    setAnswering(false);
+           {"lease_left_ms", runtime::toMs(Clock.expiresAt() - now())}});
+    setResponsive(false);
     HoldPending = true;
-    later(Options.RepeatDelay, [this] {
+    runAfter(Options.OrderRetryDelay, [this] {
       HoldPending = false;
-      probeWhileSilent();
+      probeUnresponsiveServer();
     });
   }
 
   // A silent server is asked again also when nothing runs there, since only an answer makes it usable.
-  void probeWhileSilent() {
+  void probeUnresponsiveServer() {
     if (!Runs.empty() || Delisted || Ownership != ownership::Owned) {
-      keepHolding();
+      sendHoldIfNeeded();
       return;
     }
-    sendHold({Token, std::nullopt, Observed, {}});
+    sendHold({Token, std::nullopt, LastObservedEnd, {}});
   }
 
-  void setAnswering(bool IsAnswering) {
-    if (std::exchange(Answering, IsAnswering) != IsAnswering)
+  void setResponsive(bool IsResponsive) {
+    if (std::exchange(Responsive, IsResponsive) != IsResponsive)
       Ports.onCapacityChanged(Entry.Target.Id);
   }
 
-  void onEnd(const listed_end &End) {
-    if (End.Number <= Observed)
+  void onListedEnd(const listed_end &End) {
+    if (End.Number <= LastObservedEnd)
       return;
-    Observed = End.Number;
+    LastObservedEnd = End.Number;
     server_run *Found = Runs.find(End.Run);
     if (!Found)
       return;
-    noteHealth(End.End, *Found);
+    recordRunEnd(End.End, *Found);
     std::string Reason = Found->StopReason.empty() ? std::string(runEndName(End.End)) : Found->StopReason;
-    endRun(End.Run, eventOf(End.End), Reason);
+    endRun(End.Run, toRunEvent(End.End), Reason);
   }
 
-  void noteHealth(run_end End, const server_run &Run) {
+  void recordRunEnd(run_end End, const server_run &Run) {
     if (End == run_end::Done) {
       ++Ports.counters().Done;
       Health.onDone(runtime::toMs(now() - Run.StartedAt), Run.EstimateMs);
@@ -602,7 +605,7 @@
   }
 
   void endMissingRuns(time_point Sent, const std::vector<run_key> &Running) {
-    for (const run_key &Run : Runs.missingIn(Running, Sent))
+    for (const run_key &Run : Runs.missingFrom(Running, Sent))
       endRun(Run, schema::RUN_GONE, "not_listed");
   }
 
@@ -615,15 +618,15 @@
          {"runs", static_cast<std::int64_t>(Runs.size())},
          {"running", static_cast<std::int64_t>(Reply.Running.size())}});
     IncarnationStartMs = Reply.IncarnationStartMs;
-    Observed = 0;
-    AcknowledgedEnds = 0;
-    for (const auto &[Run, Ordered] : OpenStarts)
-      if (now() - Ordered < Options.LateOrderTime && !Runs.contains(Run))
+    LastObservedEnd = 0;
+    LastAcknowledgedEnd = 0;
+    for (const auto &[Run, Ordered] : UnansweredStarts)
+      if (now() - Ordered < Options.MaxOrderDelay && !Runs.contains(Run))
         stopUnknownRun(Run);
   }
 
   // Another server is at the address: this one has ended.
-  void onReplaced() {
+  void onServerReplaced() {
     log(log_level::Warning, "server_replaced",
         {{"server", Entry.Target.Id}, {"runs", static_cast<std::int64_t>(Runs.size())}});
     for (const run_key &Run : Runs.keys())
@@ -638,7 +641,7 @@
     server_run &Unknown = Runs[Run];
     Unknown.Size = Entry.Capacity;
     Unknown.Phase = run_phase::Running;
-    Unknown.StartOpen = false;
+    Unknown.StartPending = false;
     Unknown.StartedAt = now();
     stopRun(Run, Unknown, "unknown");
     Ports.onCapacityChanged(Entry.Target.Id);
@@ -652,10 +655,10 @@
 
   // Ends of time.
 
-  void endLapsedRuns(time_point Now) {
-    if ((Answering && !Delisted) || Now < Clock.overAt())
+  void endExpiredRuns(time_point Now) {
+    if ((Responsive && !Delisted) || Now < Clock.expiresAt())
       return;
-    for (const run_key &Run : Runs.lapsing(Delisted))
+    for (const run_key &Run : Runs.runsEndingWithLease(Delisted))
       endRun(Run, schema::RUN_GONE, "lease_over");
   }
 
@@ -686,22 +689,22 @@
   std::uint64_t Token = 0;
   unsigned FencedClaims = 0;
   // Of other VMs' claims, as far as known.
-  std::uint64_t HighestToken = 0;
+  std::uint64_t HighestOtherToken = 0;
   // Asks coordinators for the runs found at the latest claim.
-  schema::dispatch_message Adoption;
+  schema::dispatch_message AdoptRequest;
   run_table Runs;
   // Starts of late that were never answered and may still be carried out by a new incarnation.
-  std::map<run_key, time_point> OpenStarts;
+  std::map<run_key, time_point> UnansweredStarts;
   std::int64_t IncarnationStartMs = 0;
-  std::uint64_t Observed = 0;
+  std::uint64_t LastObservedEnd = 0;
   // Ends up to this one are known to be acknowledged at the server.
-  std::uint64_t AcknowledgedEnds = 0;
+  std::uint64_t LastAcknowledgedEnd = 0;
   // When this VM may claim the server again.
   time_point ReclaimAfter{};
   bool HoldPending = false;
   run_list_refresh ListRefresh;
   std::uint32_t UnansweredHolds = 0;
-  bool Answering = true;
+  bool Responsive = true;
   bool Delisted = false;
   // Callbacks of calls made before the server was released are dropped.
   runtime::lifetime OwnershipLifetime;
--- a/src/yuccaplank/dispatch/server_ledger_test.cpp
+++ b/src/yuccaplank/dispatch/server_ledger_test.cpp
@@ -54,9 +54,9 @@
   std::vector<schema::adopt_request> Adoptions;
   std::uint64_t LastToken = 0;
   ledger_counters Counters;
-  bool OwnerMissing = false;
+  bool AnyOwnerOutOfContact = false;
   // Of the coordinators' answers; as this VM's own by default.
-  std::optional<runtime::time_point> AnsweredAt = runtime::time_point::max();
+  std::optional<runtime::time_point> LastAnsweredHeartbeat = runtime::time_point::max();
   std::unique_ptr<server_ledger> Ledger = makeServerLedger(*Executor, *this, entry());
 
   static server_entry entry() {
@@ -78,9 +78,9 @@
     return LastToken = std::max(LastToken, Above) + 1;
   }
   ledger_counters &counters() override { return Counters; }
-  [[nodiscard]] bool ownerMissing() const override { return OwnerMissing; }
-  [[nodiscard]] std::optional<runtime::time_point> answeredAt(const std::string &) const override {
-    return AnsweredAt;
+  [[nodiscard]] bool anyOwnerOutOfContact() const override { return AnyOwnerOutOfContact; }
+  [[nodiscard]] std::optional<runtime::time_point> lastAnsweredHeartbeat(const std::string &) const override {
+    return LastAnsweredHeartbeat;
   }
 
   static hold_reply listed(std::vector<run_key> Running, std::vector<listed_end> Ended = {},
@@ -119,7 +119,7 @@
     Request.set_server("s1");
     Request.mutable_size()->set_cpu(Cpu);
     Request.set_estimate_ms(100);
-    Request.set_token(Ledger->token());
+    Request.set_token(Ledger->highestToken());
     Ledger->start("coordinator", Request);
   }
   [[nodiscard]] schema::run_event lastEvent() const {
@@ -195,8 +195,9 @@
     CPPUNIT_ASSERT(Owner.Events.empty());
     // The lease on a clock that is 2 % slow, and the error of its estimate.
     ledger_options Options;
-    auto Over = std::chrono::duration_cast<runtime::duration>(Options.Lease * (1 + Options.ClockDrift)) +
-                Options.ClockError;
+    auto Over =
+        std::chrono::duration_cast<runtime::duration>(Options.LeaseDuration * (1 + Options.ClockDrift)) +
+        Options.ClockError;
     Owner.Executor->advance(Over - milliseconds(151));
     Owner.Ledger->tick();
     CPPUNIT_ASSERT(Owner.Events.empty());
@@ -219,7 +220,7 @@
   owner Owner;
   Owner.claim();
   auto Now = [&] { return Owner.Executor->clock().sinceBoot(); };
-  Owner.AnsweredAt = Now();
+  Owner.LastAnsweredHeartbeat = Now();
   if (auto When = section("a start reaches the server within 560 ms of the heartbeat that was answered")) {
     Owner.Executor->advance(milliseconds(300));
     Owner.start(runOf(0));
@@ -233,7 +234,7 @@
     CPPUNIT_ASSERT_EQUAL(schema::RUN_NOT_STARTED, Owner.lastEvent());
   }
   if (auto When = section("nor is when the coordinator is out of contact")) {
-    Owner.AnsweredAt.reset();
+    Owner.LastAnsweredHeartbeat.reset();
     Owner.start(runOf(0));
     CPPUNIT_ASSERT(Owner.Orders.Starts.empty());
   }
@@ -249,7 +250,7 @@
       CPPUNIT_ASSERT(!Owner.Orders.Holds.at(0).Order.LeaseEndMs);
     }
     if (auto Then = section("unless it answers again")) {
-      Owner.AnsweredAt = Now();
+      Owner.LastAnsweredHeartbeat = Now();
       Owner.Executor->advance(milliseconds(50));
       Owner.answerHold(Owner.listed({runOf(0)}));
       CPPUNIT_ASSERT_EQUAL(std::int64_t{1000 + 900}, Owner.Orders.Holds.at(0).Order.LeaseEndMs.value());
@@ -263,7 +264,7 @@
   Owner.claim({runOf(0)});
   schema::adopt_reply Reply;
   *Reply.add_runs()->mutable_task() = toMessage(runOf(0));
-  Owner.AnsweredAt = Owner.Executor->clock().sinceBoot() - milliseconds(900);
+  Owner.LastAnsweredHeartbeat = Owner.Executor->clock().sinceBoot() - milliseconds(900);
   Owner.Ledger->adopt("coordinator", Reply);
   hold_reply NoAnswer;
   for (int Hold = 0; Hold < 3; ++Hold)
@@ -304,15 +305,15 @@
   if (auto Then = section("an order under another claim's grant is refused")) {
     schema::start_task Stale;
     *Stale.mutable_task() = toMessage(runOf(5));
-    Stale.set_token(Owner.Ledger->token() - 1);
+    Stale.set_token(Owner.Ledger->highestToken() - 1);
     Owner.answerHold(Owner.listed({runOf(0)}, {{1, runOf(1), run_end::Stopped}}));
     Owner.Ledger->start("coordinator", Stale);
     CPPUNIT_ASSERT_EQUAL(std::string("granted_under_another_token"), Owner.Events.back().reason());
   }
   if (auto Then = section("a later claim of another VM ends the ownership, an earlier one does not")) {
-    Owner.Ledger->onClaimedElsewhere(Owner.Ledger->token() - 1);
+    Owner.Ledger->onClaimedElsewhere(Owner.Ledger->highestToken() - 1);
     CPPUNIT_ASSERT(!Owner.Ledger->unowned());
-    Owner.Ledger->onClaimedElsewhere(Owner.Ledger->token() + 1);
+    Owner.Ledger->onClaimedElsewhere(Owner.Ledger->highestToken() + 1);
     CPPUNIT_ASSERT(Owner.Ledger->unowned());
   }
 });
@@ -322,7 +323,7 @@
 const test_case EarlierClaim("server ledger: another VM believed itself to own the server", [] {
   owner Owner;
   Owner.claim();
-  Owner.Ledger->onClaimedElsewhere(Owner.Ledger->token() - 1);
+  Owner.Ledger->onClaimedElsewhere(Owner.Ledger->highestToken() - 1);
   Owner.start(runOf(0));
   CPPUNIT_ASSERT(Owner.Orders.Starts.empty());
   Owner.answerHold(Owner.listed({runOf(7)}, {}, 2));
@@ -342,7 +343,7 @@
 const test_case MissingOwner("server ledger: another VM that may own the server is out of contact", [] {
   owner Owner;
   Owner.claim();
-  Owner.OwnerMissing = true;
+  Owner.AnyOwnerOutOfContact = true;
   Owner.Executor->advance(milliseconds(200));
   Owner.start(runOf(0));
   CPPUNIT_ASSERT(Owner.Orders.Starts.empty());
@@ -400,7 +401,7 @@
     Owner.answerHold(Owner.listed({runOf(1)}, {}, 2));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Owner.Events.size());
     CPPUNIT_ASSERT_EQUAL(schema::RUN_GONE, Owner.lastEvent());
-    CPPUNIT_ASSERT(Owner.Ledger->holds(runOf(1)));
+    CPPUNIT_ASSERT(Owner.Ledger->containsRun(runOf(1)));
   }
   if (auto When = section("when it runs what nobody here has ordered, that is stopped and takes all room")) {
     Owner.answerHold(Owner.listed({runOf(0), runOf(1), runOf(7)}, {}, 2));
--- a/src/yuccaplank/dispatch/server_owner.cpp
+++ b/src/yuccaplank/dispatch/server_owner.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // Ends that are remembered for coordinators whose session broke before they heard of them.
-constexpr std::size_t RememberedEnds = 512;
+constexpr std::size_t MaxRecentEnds = 512;
 
 struct owned_server {
   server_entry Entry;
@@ -41,11 +41,11 @@
     for (auto &[Id, Server] : Servers)
       if (!Names.contains(Id))
         Server.Ledger->delist();
-    dropFinished();
-    reviewOwnership();
+    removeFinishedServers();
+    claimAssignedServers();
   }
 
-  void reviewOwnership() override {
+  void claimAssignedServers() override {
     for (auto &[Id, Server] : Servers)
       if (Server.Ledger->unowned() && Ports.shouldOwn(Server.Entry.Rack, Server.Entry.Domain))
         Server.Ledger->claim();
@@ -55,7 +55,7 @@
     auto Session = Sessions.find(Coordinator);
     if (Session != Sessions.end() && Request.session() < Session->second)
       return;
-    Handled[Request.placer()][Request.server()].push_back(Request.grant());
+    HandledGrants[Request.placer()][Request.server()].push_back(Request.grant());
     onCapacityChanged(Request.server());
     auto Found = Servers.find(Request.server());
     if (Found == Servers.end() || !Ports.reachable(Coordinator)) {
@@ -113,7 +113,7 @@
       if (!Server.Ledger->unowned()) {
         schema::owned_server &Owned = *Message.mutable_owned()->add_servers();
         Owned.set_server(Id);
-        Owned.set_token(Server.Ledger->token());
+        Owned.set_token(Server.Ledger->highestToken());
       }
     if (Message.has_owned())
       Ports.send(Vm, std::move(Message));
@@ -129,12 +129,12 @@
     for (auto &[Id, Server] : Servers)
       Server.Ledger->resume(Coordinator, Session);
     for (const schema::counted_run &Run : Session.runs())
-      answerCountedRun(Coordinator, Run);
+      answerExpectedRun(Coordinator, Run);
   }
 
   void onVmLost(const std::string &Vm) override {
     Subscribers.erase(Vm);
-    Handled.erase(Vm);
+    HandledGrants.erase(Vm);
     for (auto &[Id, Server] : Servers)
       Server.Ledger->stopRunsOf(Vm);
   }
@@ -142,7 +142,7 @@
   void tick() override {
     for (auto &[Id, Server] : Servers)
       Server.Ledger->tick();
-    dropFinished();
+    removeFinishedServers();
   }
 
   [[nodiscard]] owner_counts counts() const override {
@@ -169,28 +169,29 @@
   server_orders &orders() override { return Ports.orders(); }
   void broadcast(const schema::dispatch_message &Message) override { Ports.broadcast(Message); }
   std::uint64_t fencingToken(std::uint64_t Above) override { return Ports.fencingToken(Above); }
-  [[nodiscard]] bool ownerMissing() const override { return Ports.ownerMissing(); }
-  [[nodiscard]] std::optional<runtime::time_point> answeredAt(const std::string &Vm) const override {
-    return Ports.answeredAt(Vm);
+  [[nodiscard]] bool anyOwnerOutOfContact() const override { return Ports.anyOwnerOutOfContact(); }
+  [[nodiscard]] std::optional<runtime::time_point>
+  lastAnsweredHeartbeat(const std::string &Vm) const override {
+    return Ports.lastAnsweredHeartbeat(Vm);
   }
   ledger_counters &counters() override { return Counters; }
 
   void send(const std::string &Vm, schema::dispatch_message Message) override {
     if (Message.has_event())
-      remember(Message.event());
+      recordEnd(Message.event());
     Ports.send(Vm, std::move(Message));
   }
 
   // States of one turn are sent together, each server once.
   void onCapacityChanged(const std::string &Server) override {
-    Changed.insert(Server);
-    if (Changed.size() == 1)
+    ChangedServers.insert(Server);
+    if (ChangedServers.size() == 1)
       Executor.post(Lifetime.guard([this] { sendStates(); }));
   }
 
   void sendStates() {
     std::set<std::string> Names;
-    Names.swap(Changed);
+    Names.swap(ChangedServers);
     for (const std::string &Name : Names) {
       auto Found = Servers.find(Name);
       schema::server_state State;
@@ -201,54 +202,55 @@
       for (const std::string &Placer : Subscribers)
         sendState(Placer, State);
     }
-    Handled.clear();
+    HandledGrants.clear();
   }
 
   void sendState(const std::string &Placer, const schema::server_state &State) {
     schema::dispatch_message Message;
     *Message.mutable_server() = State;
-    for (std::uint64_t Grant : Handled[Placer][State.server()])
+    for (std::uint64_t Grant : HandledGrants[Placer][State.server()])
       Message.mutable_server()->add_handled(Grant);
     Ports.send(Placer, std::move(Message));
   }
 
   void refuse(const std::string &Coordinator, const schema::start_task &Request) {
-    Ports.send(Coordinator, makeEvent(keyOf(Request.task()), schema::RUN_NOT_STARTED, Request.server(),
-                                      "server_not_owned"));
+    Ports.send(Coordinator, makeTaskEvent(keyOf(Request.task()), schema::RUN_NOT_STARTED, Request.server(),
+                                          "server_not_owned"));
   }
 
-  void answerCountedRun(const std::string &Coordinator, const schema::counted_run &Counted) {
-    run_key Run = keyOf(Counted.task());
-    auto Found = Servers.find(Counted.server());
+  void answerExpectedRun(const std::string &Coordinator, const schema::counted_run &ExpectedRun) {
+    run_key Run = keyOf(ExpectedRun.task());
+    auto Found = Servers.find(ExpectedRun.server());
     server_ledger *Ledger = Found == Servers.end() ? nullptr : Found->second.Ledger.get();
-    if (Ledger && (Ledger->holds(Run) || Ledger->resendAdoption(Coordinator)))
+    if (Ledger && (Ledger->containsRun(Run) || Ledger->resendAdoption(Coordinator)))
       return;
     schema::dispatch_message Message;
-    auto Ended = std::ranges::find_if(
-        Ends, [&](const auto &End) { return keyOf(End.task()) == Run && End.server() == Counted.server(); });
-    if (Ended != Ends.end()) {
+    auto Ended = std::ranges::find_if(RecentEnds, [&](const auto &End) {
+      return keyOf(End.task()) == Run && End.server() == ExpectedRun.server();
+    });
+    if (Ended != RecentEnds.end()) {
       *Message.mutable_event() = *Ended;
     } else if (Ledger && Ledger->owned()) {
       // Neither running nor ended here: the start never arrived.
-      Message = makeEvent(Run, schema::RUN_GONE, Counted.server(), "not_received");
+      Message = makeTaskEvent(Run, schema::RUN_GONE, ExpectedRun.server(), "not_received");
     } else {
       // Whatever was ordered under an earlier claim is out of this VM's hands, until it claims the server
       // anew.
-      Message = makeYield(Counted.server(), 0);
-      *Message.mutable_yield()->mutable_run() = Counted.task();
+      Message = makeYield(ExpectedRun.server(), 0);
+      *Message.mutable_yield()->mutable_run() = ExpectedRun.task();
     }
     Ports.send(Coordinator, std::move(Message));
   }
 
-  void remember(const schema::task_event &Event) {
-    Ends.push_back(Event);
-    if (Ends.size() > RememberedEnds)
-      Ends.pop_front();
+  void recordEnd(const schema::task_event &Event) {
+    RecentEnds.push_back(Event);
+    if (RecentEnds.size() > MaxRecentEnds)
+      RecentEnds.pop_front();
   }
 
-  void dropFinished() {
+  void removeFinishedServers() {
     std::erase_if(Servers, [this](const auto &Entry) {
-      bool Finished = Entry.second.Ledger->finished();
+      bool Finished = Entry.second.Ledger->mayBeRemoved();
       if (Finished && !Entry.second.Ledger->unowned())
         onCapacityChanged(Entry.first);
       return Finished;
@@ -261,11 +263,11 @@
   ledger_counters Counters;
   std::map<std::string, owned_server> Servers;
   std::set<std::string> Subscribers;
-  std::set<std::string> Changed;
+  std::set<std::string> ChangedServers;
   // Grants whose fate the next state of their server contains, by placer and server.
-  std::map<std::string, std::map<std::string, std::vector<std::uint64_t>>> Handled;
+  std::map<std::string, std::map<std::string, std::vector<std::uint64_t>>> HandledGrants;
   std::map<std::string, std::uint32_t> Sessions;
-  std::deque<schema::task_event> Ends;
+  std::deque<schema::task_event> RecentEnds;
   runtime::lifetime Lifetime;
 };
 
--- a/src/yuccaplank/entry/frontend.cpp
+++ b/src/yuccaplank/entry/frontend.cpp
@@ -103,7 +103,7 @@
       : Executor(Executor), Vm(Vm), Handlers(std::move(Handlers)), Options(Options) {}
 
   void onRequest(http_request Request) override {
-    const dispatch::configuration *Configuration = Vm.current();
+    const dispatch::configuration *Configuration = Vm.currentConfiguration();
     if (!Configuration) {
       refuse(Request, 503, "no_configuration");
       return;
@@ -117,7 +117,7 @@
     }
     std::string_view Id = std::string_view(Request.Path).substr(Queue->PathPrefix.size());
     if (Id.empty() && Request.Method == "GET") {
-      Handlers.Reply(Request.Token, makeReply(200, platform::encodeWaiting(Vm.waiting(Queue->Name))));
+      Handlers.Reply(Request.Token, makeReply(200, platform::encodeWaiting(Vm.waitingJobs(Queue->Name))));
       return;
     }
     auto Job = platform::parseJobId(Id);
@@ -170,7 +170,7 @@
   }
 
   void submit(const http_request &Request, const queue_settings &Queue, std::uint64_t Id) {
-    if (Request.Body.size() > Vm.current()->Limits.MaxBodyBytes) {
+    if (Request.Body.size() > Vm.currentConfiguration()->Limits.MaxBodyBytes) {
       refuse(Request, 413, "body_too_large");
       return;
     }
@@ -243,7 +243,8 @@
          {"method", Request.Method},
          {"status", std::int64_t{Status}},
          {"reason", std::string(Reason)},
-         {"configuration", static_cast<std::int64_t>(Vm.current() ? Vm.current()->Version : 0)}});
+         {"configuration",
+          static_cast<std::int64_t>(Vm.currentConfiguration() ? Vm.currentConfiguration()->Version : 0)}});
     Handlers.Reply(Request.Token, Status == 503 ? refusal(Status, ComeBackMs) : makeReply(Status, "{}"));
   }
 
--- a/src/yuccaplank/entry/frontend_test.cpp
+++ b/src/yuccaplank/entry/frontend_test.cpp
@@ -150,7 +150,7 @@
   vm Vm;
   Vm.configure(5);
   Vm.Entry->setConfiguration({}, "");
-  CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, Vm.Entry->current()->Version);
+  CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, Vm.Entry->currentConfiguration()->Version);
 });
 
 } // namespace
--- a/src/yuccaplank/entry/vm_metrics.cpp
+++ b/src/yuccaplank/entry/vm_metrics.cpp
@@ -62,7 +62,7 @@
     {"yuccaplank_holds_total", "Renewals of leases sent to servers.", MetricType::Counter,
      [](const entry_vm_state &State) { return toDouble(State.Ledger.Holds); }},
     {"yuccaplank_orders_unanswered_total", "Orders without an answer in time.", MetricType::Counter,
-     [](const entry_vm_state &State) { return toDouble(State.Ledger.NoAnswers); }},
+     [](const entry_vm_state &State) { return toDouble(State.Ledger.UnansweredOrders); }},
     {"yuccaplank_grants_total", "Servers granted to tasks by this VM as placer.", MetricType::Counter,
      [](const entry_vm_state &State) { return toDouble(State.Placement.Granted); }},
     {"yuccaplank_grants_expired_total", "Grants of which nothing was heard.", MetricType::Counter,
--- a/src/yuccaplank/entry/vm_process.cpp
+++ b/src/yuccaplank/entry/vm_process.cpp
@@ -130,8 +130,8 @@
     applyOwnSettings(Options.Own, Result);
     dispatch::platform_bounds Bounds;
     Bounds.MaxLease = std::chrono::milliseconds(Settings.MaxLeaseMs);
-    Bounds.Resend = std::chrono::milliseconds(Settings.ResendMs);
-    Bounds.StopTime = std::chrono::milliseconds(Settings.StopTimeMs);
+    Bounds.ResendDelay = std::chrono::milliseconds(Settings.ResendMs);
+    Bounds.MaxStopDelay = std::chrono::milliseconds(Settings.StopTimeMs);
     if (!dispatch::applyBounds(Bounds, Result)) {
       log(log_level::Error, "bounds_too_short",
           {{"max_lease_ms", std::int64_t{Settings.MaxLeaseMs}},
--- a/src/yuccaplank/scenario/script.cpp
+++ b/src/yuccaplank/scenario/script.cpp
@@ -183,7 +183,7 @@
   return 0;
 }
 int luaVersion(lua_State *Lua) {
-  lua_pushinteger(Lua, static_cast<lua_Integer>(vmOf(Lua, 1).Vm->current()->Version));
+  lua_pushinteger(Lua, static_cast<lua_Integer>(vmOf(Lua, 1).Vm->currentConfiguration()->Version));
   return 1;
 }
 
--- a/src/yuccaplank/simulation/simulated_fleet.cpp
+++ b/src/yuccaplank/simulation/simulated_fleet.cpp
@@ -54,7 +54,7 @@
 
 // The document of a simulated configuration is its version.
 void simulated_vm::onConfigurationOffered(const schema::configuration_copy &Copy) {
-  dispatch::configuration Configuration = *Vm->current();
+  dispatch::configuration Configuration = *Vm->currentConfiguration();
   Configuration.Version = Copy.version();
   Vm->setConfiguration(Configuration, Copy.document());
 }
