--- a/include/yuccaplank/dispatch/contact_plan.hpp
+++ b/include/yuccaplank/dispatch/contact_plan.hpp
@@ -1,6 +1,6 @@
-// Which VMs dispatch, and which VMs a VM keeps in contact with. A bounded number of each failure domain
-// dispatches, so that what a VM does stays the same when the fleet grows; the others pass their callers' jobs
-// on.
+// Chooses the VMs that dispatch and the VMs that a VM keeps in contact with. A bounded number of VMs per
+// failure domain dispatches, so that the load of each VM does not grow with the fleet. The other VMs relay
+// the jobs of their callers.
 #pragma once
 
 #include "yuccaplank/runtime/clock.hpp"
@@ -25,33 +25,36 @@
 
 using registered_vms = std::map<std::string, registered_vm>;
 
-/// Names of the PerDomain strongest VMs of each failure domain.
+/// Returns the names of the PerDomain strongest VMs of each failure domain.
 std::set<std::string> chooseDispatchers(const registered_vms &Vms, std::size_t PerDomain);
 
-/// VMs that a relaying VM of a domain keeps in contact with: the dispatchers of its domain, or all
-/// dispatchers while none of these is in contact.
+/// Returns the VMs that a relaying VM of a failure domain keeps in contact with: the dispatchers of its
+/// domain, or all dispatchers while none of these is in contact.
 std::set<std::string> contactsOfRelay(const registered_vms &Vms, const std::set<std::string> &Dispatchers,
                                       const std::string &Domain,
                                       const std::function<bool(const std::string &Vm)> &InContact);
 
 struct dispatching_options {
-  /// Dispatching VMs of a failure domain, which share its servers; three bear the loss of one in a burst.
+  /// Number of dispatching VMs of a failure domain. They share its servers; with three, the domain can lose
+  /// one during a burst of jobs.
   std::size_t PerDomain = 3;
-  /// After a VM's first registration the entries of others that start with it may be missing for this time.
+  /// Delay after a VM's first registration, because entries of other VMs that start at the same time may be
+  /// missing until then.
   runtime::duration SettleDelay = std::chrono::milliseconds(700);
-  /// Longer than the drain and the restart of a VM (a grace period of 6 s), which would otherwise move the
-  /// role twice, and to weaker VMs.
+  /// Delay before a changed choice takes effect. It is longer than the drain and restart of a VM (with a
+  /// grace period of 6 s), which would otherwise move the role twice, and to weaker VMs.
   runtime::duration RoleChangeDelay = std::chrono::seconds(12);
 };
 
-/// Whether this VM dispatches, from whether it is chosen now.
+/// Decides whether this VM dispatches. Changes of the choice take effect with a delay.
 class dispatching_decision {
 public:
   explicit dispatching_decision(const dispatching_options &Options) : Options(Options) {}
 
-  /// Returning: the VM had an entry before, so that the entries read with it are those of a whole fleet.
+  /// With Returning, the VM had an entry before, so the entries that it has read are those of the whole
+  /// fleet.
   void onRegistered(runtime::time_point Now, bool Returning);
-  /// Whether the VM dispatches from now on.
+  /// Takes whether the VM is chosen at Now, and returns whether it dispatches from now on.
   bool update(runtime::time_point Now, bool Chosen);
 
 private:
--- a/include/yuccaplank/dispatch/entry_vm.hpp
+++ b/include/yuccaplank/dispatch/entry_vm.hpp
@@ -1,4 +1,4 @@
-// All dispatching roles of one entry VM, and its talk with the other VMs.
+// All dispatching roles of one entry VM, and its communication with the other VMs.
 #pragma once
 
 #include "yuccaplank/dispatch/configuration.hpp"
@@ -20,18 +20,18 @@
 
 struct entry_vm_options {
   std::string Vm;
-  /// Where other VMs reach this one, "ip:port".
+  /// Address at which other VMs reach this one, "ip:port".
   std::string Address;
   std::string Domain;
   /// Thousandths of a core.
   std::uint32_t Strength = 1000;
   runtime::duration HeartbeatInterval = std::chrono::milliseconds(150);
-  /// Interval at which VMs that are out of contact are tried.
+  /// Interval between attempts to contact VMs that are out of contact.
   runtime::duration RetryInterval = std::chrono::milliseconds(1000);
-  /// A VM that has lost all others at once is more likely cut off or slow than the last one, and takes over
-  /// servers of other failure domains only after this time.
+  /// A VM that has lost contact with all others at once is more likely to be cut off or slow than to be the
+  /// last one. It claims servers of other failure domains only after this delay.
   runtime::duration IsolatedClaimDelay = std::chrono::milliseconds(2000);
-  /// How long a cancel waits for the other VMs.
+  /// How long a cancel request waits for replies of other VMs.
   runtime::duration CancelTimeout = std::chrono::milliseconds(400);
   fleet_view_options View;
   dispatching_options Dispatching;
@@ -41,40 +41,44 @@
   ledger_options Ledger;
 };
 
-/// Network and surroundings. Messages are delivered in order while a connection lasts.
+/// The services that an entry VM uses. Messages to a VM are delivered in order while a connection lasts.
 class entry_vm_ports {
 public:
   virtual ~entry_vm_ports() = default;
-  /// An empty Vm addresses whichever VM is at the address.
+  /// With an empty Vm, sends to whichever VM is at the address.
   virtual void send(const std::string &Vm, const std::string &Address, schema::dispatch_message Message) = 0;
   virtual void disconnect(const std::string &Vm) = 0;
   virtual server_orders &orders() = 0;
   virtual void answer(std::uint64_t Job, const job_answer &Answer) = 0;
-  /// The term of this VM's fencing tokens has risen; it should outlast the process.
+  /// Called when the term of this VM's fencing tokens has risen; the term should be stored beyond the end of
+  /// the process.
   virtual void onTermRaised(std::uint32_t Term) = 0;
-  /// Whether this VM needs to know the backend servers; it does not while it relays.
+  /// Called when this VM starts or stops needing the list of backend servers. A VM that only relays does not
+  /// need it.
   virtual void onServersNeeded(bool Needed) = 0;
-  /// A VM that dispatches by its entry in the store has been out of contact for long.
+  /// Called for a VM that dispatches according to its entry in the store but has been out of contact for
+  /// long.
   virtual void onStaleRegistration(const std::string &Vm) = 0;
-  /// Another VM has a newer configuration; decoding it is up to the receiver.
+  /// Called when another VM has a newer configuration. The receiver decodes it.
   virtual void onConfigurationOffered(const schema::configuration_copy &Copy) = 0;
 };
 
-/// Numbers for metrics.
+/// Values for metrics.
 struct entry_vm_state {
   coordinator_counters Coordinator;
   ledger_counters Ledger;
   placement_counters Placement;
   owner_counts Servers;
-  /// Jobs that this VM coordinates, and those of its callers that others coordinate.
+  /// Jobs that this VM coordinates, and jobs of its callers that other VMs coordinate.
   std::size_t Jobs = 0;
   std::size_t RelayedJobs = 0;
   std::size_t VmsInContact = 0;
-  /// Age of the oldest heartbeat of this VM whose answer is the latest of some VM in contact.
+  /// Largest age, over all VMs in contact, of the latest heartbeat that the VM has answered. The age counts
+  /// from when this VM sent the heartbeat.
   runtime::duration OldestAnswer{};
-  /// Echoes that belong to no recent heartbeat of this VM.
+  /// Received echoes that match no recent heartbeat of this VM.
   std::uint64_t IgnoredEchoes = 0;
-  /// Jobs that arrived from VMs out of contact and were not taken.
+  /// Relayed jobs that this VM declined because the sender was out of contact.
   std::uint64_t DeclinedJobs = 0;
   bool Dispatching = false;
   bool Placing = false;
@@ -84,17 +88,17 @@
 public:
   virtual ~entry_vm() = default;
 
-  /// Version of this VM's registration in the store; without one it does not dispatch. Returning: the VM was
-  /// registered before, so that the others' entries are those of a whole fleet.
+  /// Sets the version of this VM's registration in the store; a VM without one does not dispatch. With
+  /// Returning, the VM had an entry before, so the entries that it reads now are those of the whole fleet.
   virtual void setRegistration(std::uint64_t Version, bool Returning) = 0;
-  /// A term that was used before, by this VM or another.
+  /// Reports a term that this VM or another one has used before.
   virtual void observeTerm(std::uint32_t Term) = 0;
-  /// Older versions than the one in force are ignored; tells whether it is in force now.
+  /// Applies the configuration unless the current one is as new or newer. Returns whether it was applied.
   virtual bool setConfiguration(configuration Configuration, std::string Document) = 0;
   virtual void setServers(const std::vector<server_entry> &Servers) = 0;
-  /// The other VMs that are registered in the store.
+  /// Sets the other VMs that are registered in the store.
   virtual void setRegisteredVms(const registered_vms &Vms) = 0;
-  /// Addresses at which VMs may be.
+  /// Sets addresses at which other VMs may be found.
   virtual void addSeeds(const std::vector<std::string> &Addresses) = 0;
 
   virtual void onMessage(const std::string &Vm, const std::string &Incarnation,
@@ -103,21 +107,21 @@
   virtual void onConnectFailed(const std::string &Address) = 0;
 
   [[nodiscard]] virtual const configuration *currentConfiguration() const = 0;
-  /// Whether jobs can be served: there is a configuration and a VM that dispatches, and this VM is not
+  /// Returns whether this VM can serve jobs: it has a configuration, knows a VM that places tasks, and is not
   /// draining.
   [[nodiscard]] virtual bool ready() const = 0;
-  /// Jobs of this VM's callers.
+  /// Service for jobs of this VM's callers.
   virtual job_service &jobs() = 0;
-  /// Cancels a job wherever it is; OnDone tells whether it was found.
+  /// Cancels a job on whichever VM coordinates it. OnDone receives whether the job was found.
   virtual void cancel(std::uint64_t Job, std::function<void(bool Found)> OnDone) = 0;
-  /// Jobs of a queue that wait on any VM in contact.
+  /// Number of waiting jobs of a queue on all VMs in contact.
   [[nodiscard]] virtual std::uint32_t waitingJobs(const std::string &Queue) const = 0;
-  /// The process did not run for so long that others may have taken over its roles.
+  /// Called when the process was suspended for so long that other VMs may have taken over its roles.
   virtual void onPause() = 0;
-  /// Others take over this VM's roles; jobs in hand go on.
+  /// Lets other VMs take over this VM's roles; its current jobs continue.
   virtual void drain() = 0;
   [[nodiscard]] virtual entry_vm_state state() const = 0;
-  /// For operators.
+  /// Report for operators.
   [[nodiscard]] virtual schema::fleet_report report() const = 0;
 };
 
--- a/include/yuccaplank/dispatch/server_ledger.hpp
+++ b/include/yuccaplank/dispatch/server_ledger.hpp
@@ -1,4 +1,4 @@
-// The owner's record of one backend server: what runs there, under which lease, and how the server behaves.
+// The owner's record of one backend server: its runs, its lease and its health.
 #pragma once
 
 #include "yuccaplank/dispatch/server_orders.hpp"
@@ -12,10 +12,11 @@
 
 namespace yuccaplank::dispatch {
 
-/// Position of the term in a fencing token; below it is the registration of the VM that made the claim.
+/// Position of the term in a fencing token. The bits below it hold the registration of the VM that made the
+/// claim.
 inline constexpr unsigned TermShift = 32;
 
-/// A backend server as the platform lists it.
+/// A backend server as listed by the platform.
 struct server_entry {
   server_target Target;
   std::string Pool;
@@ -26,41 +27,43 @@
 };
 
 struct ledger_options {
-  /// Lease that runs get with each order. It outlasts the time in which a VM that falls silent is noticed and
-  /// its servers are claimed, so that its runs go on; dispatch/bounds keeps it below the time of a resent
-  /// job.
+  /// Length of the lease that each order gives to the runs of the server. It is long enough for another VM to
+  /// notice that the owner is unresponsive and to claim its servers, so that the runs survive.
+  /// dispatch/bounds keeps it shorter than the time after which a caller resends a job.
   runtime::duration LeaseDuration = std::chrono::milliseconds(900);
-  /// Times from when this VM sent the last heartbeat that a coordinator has answered. Whatever that one has
-  /// not told yet, its starts reach a server only until the first, and its runs last until the second at
-  /// most; the third holds for jobs that another VM relays to it, since that VM is the first to notice a
-  /// loss.
+  /// Limits measured from when this VM sent the latest heartbeat that a coordinator has answered. They hold
+  /// even if messages from the coordinator are missing: its starts reach a server only until StartLimit, and
+  /// its runs end by RunLimit. RelayedRunLimit applies to jobs that another VM relays to the coordinator,
+  /// because that VM is the first to notice a loss.
   runtime::duration StartLimit = std::chrono::milliseconds(560);
   runtime::duration RunLimit = std::chrono::milliseconds(1000);
   runtime::duration RelayedRunLimit = std::chrono::milliseconds(640);
-  /// Waiting time of a hold; with the reply time it stays below half of the lease.
+  /// How long a server may delay its reply to a hold. Together with the reply time it is less than half of
+  /// the lease.
   runtime::duration HoldWait = std::chrono::milliseconds(150);
-  /// Holds without a reply, one after the other, after which a server counts as silent.
+  /// Consecutive holds without a reply after which a server is treated as unresponsive.
   std::uint32_t UnansweredHoldLimit = 2;
-  /// Drift of a server's clock, and the error of the estimate of that clock.
+  /// Relative drift of a server's clock, and the error of this VM's estimate of that clock.
   double ClockDrift = 0.02;
   runtime::duration ClockError = std::chrono::milliseconds(60);
-  /// Runs that nobody has claimed this long after a take-over are stopped.
+  /// Runs that no coordinator has claimed this long after a takeover are stopped.
   runtime::duration AdoptionTimeout = std::chrono::milliseconds(250);
-  /// Pause before another claim after another VM has fenced this one off, so that two VMs that do not see
-  /// each other do not take turns; a shorter one when that VM is in contact, since both then come to the same
-  /// view.
+  /// Delay before the server is claimed again after another VM has fenced this one off, so that two VMs
+  /// without contact do not keep taking the server from each other. The delay is shorter when the other VM is
+  /// in contact, because both VMs then agree on the owner.
   runtime::duration ReclaimDelay = std::chrono::seconds(2);
   runtime::duration ReclaimDelayInContact = std::chrono::milliseconds(150);
-  /// Pause before a claim that was fenced is made again under a higher token.
+  /// Delay before a fenced claim is repeated under a higher token.
   runtime::duration FencedClaimDelay = std::chrono::milliseconds(10);
-  /// Pause before an order that got no answer is repeated.
+  /// Delay before an unanswered order is repeated.
   runtime::duration OrderRetryDelay = std::chrono::milliseconds(100);
-  /// An order without an answer may be carried out this much later.
+  /// Longest time after which an unanswered order may still be carried out.
   runtime::duration MaxOrderDelay = std::chrono::seconds(13);
-  /// A run that takes this many times its expected time is stopped; declared times are off by up to 3 times.
+  /// A run is stopped when it takes longer than its expected time multiplied by OverdueFactor, plus
+  /// OverdueMargin. Declared times are off by a factor of up to 3.
   double OverdueFactor = 5;
   runtime::duration OverdueMargin = std::chrono::milliseconds(200);
-  /// Runs that end without a result, one after the other, before the server gets no more work.
+  /// Consecutive runs without a result after which the server is quarantined.
   std::uint32_t FailuresToQuarantine = 3;
   runtime::duration InitialQuarantine = std::chrono::milliseconds(1000);
   runtime::duration MaxQuarantine = std::chrono::milliseconds(4000);
@@ -78,70 +81,74 @@
   std::uint64_t Overdue = 0;
 };
 
-/// What a ledger needs from its surroundings.
+/// The services that a ledger uses.
 class ledger_ports {
 public:
   virtual ~ledger_ports() = default;
   virtual server_orders &orders() = 0;
   virtual void send(const std::string &Vm, schema::dispatch_message Message) = 0;
-  /// Sends to every VM that may coordinate jobs, the own one included.
+  /// Sends to every VM that may coordinate jobs, including this one.
   virtual void broadcast(const schema::dispatch_message &Message) = 0;
-  /// The free capacity of the server has changed; state() tells it.
+  /// Called when the free capacity of the server has changed; state() returns the new value.
   virtual void onCapacityChanged(const std::string &Server) = 0;
-  /// Token for a claim, higher than Above.
+  /// Returns a token for a new claim, higher than Above.
   virtual std::uint64_t fencingToken(std::uint64_t Above) = 0;
-  /// When this VM sent the last heartbeat that the VM has answered, by the clock that counts suspension;
-  /// nothing when it is out of contact, and the greatest time for this VM itself.
+  /// Returns when this VM sent the latest heartbeat that Vm has answered, on the clock that counts
+  /// suspension. Returns nothing if Vm is out of contact, and time_point::max() for this VM itself.
   [[nodiscard]] virtual std::optional<runtime::time_point>
   lastAnsweredHeartbeat(const std::string &Vm) const = 0;
-  /// Whether a VM that may own servers is out of contact.
+  /// Returns whether any VM that may own servers is out of contact.
   [[nodiscard]] virtual bool anyOwnerOutOfContact() const = 0;
   virtual ledger_counters &counters() = 0;
 };
 
-/// Record of one server. From claim() until release() this VM may order it; the server's fence decides
-/// between two VMs that both believe so. All callbacks run on the executor.
+/// The record of one server. This VM may send orders to the server from claim() until release(). When two VMs
+/// both assume that they own the server, its fence decides. All callbacks run on the executor.
 class server_ledger {
 public:
   virtual ~server_ledger() = default;
-  /// Takes the server over: raises the fence, looks at what runs, lets coordinators claim their runs, stops
-  /// the rest.
+  /// Takes over the server: raises its fence, reads its list of runs, lets coordinators claim their runs and
+  /// stops the others.
   virtual void claim() = 0;
-  /// Another VM has claimed the server; its runs go on. Ignored when the own claim is the later one.
+  /// Called when another VM has claimed the server; the runs continue. Ignored if this VM's claim has the
+  /// higher token.
   virtual void onClaimedElsewhere(std::uint64_t OtherToken) = 0;
-  /// Another VM may have ordered the server under an older claim: nothing is started until the server has
-  /// told what runs there, since one that was born again has forgotten the later claim.
+  /// Requests the server's list of runs and starts nothing until it has arrived. This is needed when another
+  /// VM may have sent orders under an earlier claim: a restarted server has lost the fence of the later
+  /// claim.
   virtual void requestRunList() = 0;
-  /// Gives up the server; its runs go on if their coordinators hear of a new owner in time.
+  /// Gives up the server. Its runs continue if their coordinators learn of a new owner in time.
   virtual void release() = 0;
-  /// What the platform says of the server has changed.
+  /// Called when the platform's entry for the server has changed.
   virtual void update(const server_entry &Entry) = 0;
-  /// The platform no longer lists the server; its runs count as gone when their lease is over.
+  /// Called when the platform no longer lists the server. Its runs are reported as gone when their lease
+  /// expires.
   virtual void delist() = 0;
-  /// Whether nothing may run on a delisted server any more.
+  /// Returns whether the server is delisted and certainly has no runs left.
   [[nodiscard]] virtual bool mayBeRemoved() const = 0;
   virtual void start(const std::string &Coordinator, const schema::start_task &Request) = 0;
   virtual void stop(const std::string &Coordinator, const run_key &Run) = 0;
   virtual void adopt(const std::string &Coordinator, const schema::adopt_reply &Reply) = 0;
-  /// While runs found at a take-over wait for their coordinators: asks this one again; false otherwise.
+  /// If runs found at a takeover still wait for their coordinators, sends the adopt request to Coordinator
+  /// again and returns true. Returns false otherwise.
   virtual bool resendAdoption(const std::string &Coordinator) = 0;
-  /// The coordinator has died or lost contact: its runs are stopped.
+  /// Stops the runs of a coordinator that has died or lost contact.
   virtual void stopRunsOf(const std::string &Coordinator) = 0;
-  /// Stops the coordinator's runs that it does not count on; those counted on that are not here are reported
-  /// gone by the caller.
+  /// Stops the coordinator's runs that it does not expect. The caller reports expected runs that are missing
+  /// here as gone.
   virtual void resume(const std::string &Coordinator, const schema::resume_session &Session) = 0;
   [[nodiscard]] virtual bool containsRun(const run_key &Run) const = 0;
-  /// Whether nothing runs there.
+  /// Returns whether the server has no runs.
   [[nodiscard]] virtual bool idle() const = 0;
-  /// Highest fencing token of any VM's claim that is known; 0 before the first.
+  /// Highest known fencing token of any VM's claim; 0 if there is none.
   [[nodiscard]] virtual std::uint64_t highestToken() const = 0;
-  /// Whether all runs on the server are known here.
+  /// Whether this VM owns the server and knows all of its runs.
   [[nodiscard]] virtual bool owned() const = 0;
-  /// Whether another VM owns the server, or nobody.
+  /// Whether this VM neither owns nor claims the server.
   [[nodiscard]] virtual bool unowned() const = 0;
-  /// Room for a placer; Grants are appended by the caller.
+  /// Capacity and health for the placer. The caller appends the handled grants.
   [[nodiscard]] virtual schema::server_state state() const = 0;
-  /// Looks for overdue runs and ended leases; called every 50 ms.
+  /// Stops overdue runs and ends runs whose lease has expired. Called every 50 ms.
   virtual void tick() = 0;
 };
 
--- a/include/yuccaplank/dispatch/server_orders.hpp
+++ b/include/yuccaplank/dispatch/server_orders.hpp
@@ -1,4 +1,4 @@
-// Orders to backend servers and what they report, free of any format.
+// Orders to backend servers and their replies, independent of the wire format.
 #pragma once
 
 #include "yuccaplank/dispatch/messages.hpp"
@@ -13,43 +13,43 @@
 
 namespace yuccaplank::dispatch {
 
-/// Where a server is reached and which incarnation is meant.
+/// Identifies an incarnation of a server and its address.
 struct server_target {
   std::string Id;
   std::string Address;
 };
 
-/// What became of an order.
+/// The result of an order.
 enum class order_outcome : std::uint8_t {
-  /// Carried out, or was already.
+  /// Carried out now or earlier.
   Accepted,
-  /// Not carried out: a higher fencing token is known there.
+  /// Not carried out: the server knows a higher fencing token.
   Fenced,
-  /// Not carried out: this run or a higher one has ended or was stopped there.
+  /// Not carried out: this run or a later run of the task has ended or was stopped there.
   Superseded,
-  /// Not carried out: the lease that came with it is over.
+  /// Not carried out: the lease in the order has expired.
   LeaseOver,
-  /// Not carried out for want of room.
+  /// Not carried out: the server has too little free capacity.
   NoRoom,
   /// Not carried out: malformed.
   Malformed,
-  /// Not carried out: the server declares itself unhealthy.
+  /// Not carried out: the server reports that it is unhealthy.
   Unhealthy,
   /// Not carried out: another incarnation is at the address.
   OtherIncarnation,
   /// Certainly not delivered.
   NotSent,
-  /// No answer; may be carried out now or seconds later.
+  /// No answer was received. The order may be carried out now or seconds later.
   NoAnswer,
 };
 std::string_view orderOutcomeName(order_outcome Outcome);
 
-/// How a run ended.
+/// How a run ended, as the server reports it.
 enum class run_end : std::uint8_t { Done, Failed, Stopped, Lapsed, Broken, Alone };
 std::string_view runEndName(run_end End);
 
 struct listed_end {
-  /// Position in the incarnation's list, from 1.
+  /// Position in the incarnation's list of ends, from 1.
   std::uint64_t Number = 0;
   run_key Run;
   run_end End = run_end::Done;
@@ -57,14 +57,14 @@
 
 struct order_reply {
   order_outcome Outcome = order_outcome::NoAnswer;
-  /// Steady clock of the server; absent when the reply has none.
+  /// Steady clock of the server; absent if the reply has none.
   std::optional<std::int64_t> ClockMs;
 };
 
 struct hold_reply {
   order_outcome Outcome = order_outcome::NoAnswer;
   std::optional<std::int64_t> ClockMs;
-  /// Start of the incarnation, Unix milliseconds; 0 when the reply has none.
+  /// Start of the incarnation in Unix milliseconds; 0 if the reply has none.
   std::int64_t IncarnationStartMs = 0;
   std::vector<run_key> Running;
   std::vector<listed_end> Ended;
@@ -80,15 +80,15 @@
 
 struct hold_order {
   std::uint64_t FencingToken = 0;
-  /// On the server's clock; absent leaves the lease as it is.
+  /// Lease end on the server's clock; without a value the lease stays as it is.
   std::optional<std::int64_t> LeaseEndMs;
-  /// Ends up to this number have been taken note of.
+  /// The owner has processed all ends up to this number.
   std::uint64_t Observed = 0;
   /// How long the server may wait for an end before it replies.
   runtime::duration Wait{};
 };
 
-/// Sends orders. Each callback runs exactly once, never from within the call.
+/// Sends orders. Each callback runs exactly once, and never before the call returns.
 class server_orders {
 public:
   virtual ~server_orders() = default;
--- a/include/yuccaplank/dispatch/server_owner.hpp
+++ b/include/yuccaplank/dispatch/server_owner.hpp
@@ -1,5 +1,5 @@
-// The owner role: the backend servers that this VM orders, and its talk with placers and coordinators about
-// them.
+// The owner role: sends orders to the backend servers that this VM owns, and exchanges messages about them
+// with placers and coordinators.
 #pragma once
 
 #include "yuccaplank/dispatch/server_ledger.hpp"
@@ -40,30 +40,31 @@
 class server_owner {
 public:
   virtual ~server_owner() = default;
-  /// The servers that the platform lists now.
+  /// Sets the servers that the platform currently lists.
   virtual void setServers(const std::vector<server_entry> &Servers) = 0;
-  /// The view of the other VMs has changed: claims what this VM should own now.
+  /// Claims the servers that this VM should own but does not; called when the view of the other VMs has
+  /// changed.
   virtual void claimAssignedServers() = 0;
   virtual void onStart(const std::string &Coordinator, const schema::start_task &Request) = 0;
   virtual void onStop(const std::string &Coordinator, const schema::stop_task &Request) = 0;
   virtual void onSubscribe(const std::string &Placer, const schema::subscribe_servers &Request) = 0;
   virtual void onAdopted(const std::string &Coordinator, const schema::adopt_reply &Reply) = 0;
-  /// Another VM has claimed a server or owns it.
+  /// Called when another VM has claimed or owns a server.
   virtual void onClaimedElsewhere(const std::string &NewOwner, const std::string &Server,
                                   std::uint64_t Token) = 0;
-  /// Contact begins with a VM that may own servers. While the two did not see each other, it may have ordered
-  /// servers that were born again and have forgotten this VM's claim.
+  /// Called when contact begins with a VM that may own servers. Before, that VM may have sent orders to
+  /// restarted servers that had lost the fence of this VM's claim.
   virtual void onOwnerFound() = 0;
-  /// Tells a VM with which contact begins which servers this one owns.
+  /// Sends the list of servers that this VM owns to a VM with which contact begins.
   virtual void announceOwnedServers(const std::string &Vm) = 0;
   virtual void onResume(const std::string &Coordinator, const schema::resume_session &Session) = 0;
   virtual void onVmLost(const std::string &Vm) = 0;
-  /// This VM was paused for so long that others may have taken over its servers.
+  /// Called when this VM was paused for so long that others may have taken over its servers.
   virtual void onPause() = 0;
   /// Called every 50 ms.
   virtual void tick() = 0;
   [[nodiscard]] virtual owner_counts counts() const = 0;
-  /// Room and behaviour of the owned servers.
+  /// Capacity and health of the owned servers.
   [[nodiscard]] virtual std::vector<schema::server_state> states() const = 0;
   [[nodiscard]] virtual const ledger_counters &counters() const = 0;
 };
--- a/src/yuccaplank/dispatch/bounds.cpp
+++ b/src/yuccaplank/dispatch/bounds.cpp
@@ -8,14 +8,15 @@
 using runtime::duration;
 using std::chrono::milliseconds;
 
-// Kept between the end of what an earlier submission may run and the next submission.
+// Margin between the end of an earlier submission's runs and the next submission.
 constexpr duration RunEndMargin = milliseconds(10);
-// Shorter contact does not survive a message that is late.
+// A shorter contact lease would expire when a single message is late.
 constexpr duration MinContactLease = milliseconds(300);
-// Coordinators give up what runs for a job this long before its caller sends it again.
+// Coordinators give up the runs of a job this long before its caller resends it.
 constexpr duration OrphanMargin = milliseconds(200);
 
-// When a lease has certainly ended that lasts until this long after a heartbeat was sent.
+// Time from a heartbeat to the certain expiry of a lease that is limited to the given time after this
+// heartbeat.
 duration leaseExpiry(const ledger_options &Ledger, duration Lease) {
   return std::chrono::duration_cast<duration>(Lease * (1 + Ledger.ClockDrift)) + Ledger.ClockError;
 }
@@ -24,8 +25,8 @@
   return std::chrono::duration_cast<duration>((ExpiresAfter - Ledger.ClockError) / (1 + Ledger.ClockDrift));
 }
 
-// When nothing runs any more for a relaying VM, from when it stopped answering the dispatching VM's
-// heartbeats.
+// Time by which all runs for a relaying VM have ended, from when it stopped answering the heartbeats of the
+// dispatching VM.
 duration relayedRunsEndTime(const entry_vm_options &Options) {
   return Options.View.ContactLease + leaseExpiry(Options.Ledger, Options.Ledger.RelayedRunLimit);
 }
@@ -57,22 +58,22 @@
 bool satisfiesBounds(const platform_bounds &Bounds, const entry_vm_options &Options) {
   duration Contact = Options.View.ContactLease;
   const ledger_options &Ledger = Options.Ledger;
-  // A heartbeat has an answer after two intervals at most, and some time is left for delays.
+  // A heartbeat is answered within two intervals, and a third of the contact lease is left for delays.
   bool ContactIsLongEnough =
       Contact >= MinContactLease && 2 * Options.HeartbeatInterval + Contact / 3 <= Contact;
   bool LeaseIsGranted = Ledger.LeaseDuration <= Bounds.MaxLease;
-  // A lease outlasts one hold that is lost and the next, also when the last answer to a heartbeat is old.
+  // A lease outlasts one lost hold and the next one, even if the last answer to a heartbeat is old.
   bool LeaseOutlastsLostHold = 2 * Ledger.HoldWait < Ledger.LeaseDuration &&
                                2 * Ledger.HoldWait + 2 * Options.HeartbeatInterval < Ledger.RelayedRunLimit &&
                                Ledger.RelayedRunLimit <= Ledger.RunLimit;
-  // An order that starts a run ends no later than the run may last.
+  // A start order expires no later than the run has to end.
   bool StartsInTime = Ledger.StartLimit <= Contact && Ledger.StartLimit <= Ledger.RelayedRunLimit;
-  // The coordinator loses the owner, or dies: the owner's runs have ended before it starts others, or before
-  // its caller sends the job again.
+  // If the coordinator dies or loses the owner, the owner's runs end before the coordinator starts others and
+  // before the caller resends the job.
   bool RunsEndBeforeRetry = leaseExpiry(Ledger, Ledger.RunLimit) < Options.Coordinator.OrphanTimeout &&
                             Options.Coordinator.OrphanTimeout < Bounds.ResendDelay;
-  // A relaying VM loses the coordinator, or dies: the coordinator's contact with it ends, then that of each
-  // owner with the coordinator as it was before, with its runs.
+  // If a relaying VM dies or loses the coordinator, the coordinator's contact with it ends first, and then
+  // the contact of each owner with the coordinator as it was before, and the runs with it.
   bool RelayedRunsEndBeforeRetry = relayedRunsEndTime(Options) + RunEndMargin <= Bounds.ResendDelay &&
                                    relayedRunsEndTime(Options) + RunEndMargin <= Options.Relay.OrphanTimeout;
   return ContactIsLongEnough && LeaseIsGranted && LeaseOutlastsLostHold && StartsInTime &&
--- a/src/yuccaplank/dispatch/contact_clock.hpp
+++ b/src/yuccaplank/dispatch/contact_clock.hpp
@@ -1,4 +1,4 @@
-// This VM's clock as it is told in heartbeats and comes back in the answers to them.
+// The clock value that this VM sends in heartbeats and that other VMs echo in their replies.
 #pragma once
 
 #include "yuccaplank/runtime/clock.hpp"
@@ -10,18 +10,18 @@
 
 class contact_clock {
 public:
-  /// An origin that differs from process to process keeps an echo of an earlier process's clock outside the
-  /// time that counts.
+  /// An origin that differs between processes makes echoes of an earlier process's clock fall outside the
+  /// accepted age.
   contact_clock(const runtime::clock &Clock, std::uint32_t Origin) : Clock(Clock), Origin(Origin) {}
 
-  /// Milliseconds from the origin; never 0, which means that nothing is told. It wraps after 49 days.
+  /// Milliseconds since the origin. The value wraps after 49 days and is never 0, which stands for no value.
   [[nodiscard]] std::uint32_t now() const {
     std::uint32_t Value = Origin + sinceBootMs();
     return Value == 0 ? Value - 1 : Value;
   }
 
-  /// When the clock showed a value that another VM has echoed, rounded to the past; nothing when that is more
-  /// than Limit ago or in the future.
+  /// Returns when the clock had the echoed value, rounded down. Returns nothing if that is more than MaxAge
+  /// ago or in the future.
   [[nodiscard]] std::optional<runtime::time_point> sentAt(std::uint32_t Echo,
                                                           runtime::duration MaxAge) const {
     std::chrono::milliseconds Age(now() - Echo + 1);
--- a/src/yuccaplank/dispatch/contact_clock_test.cpp
+++ b/src/yuccaplank/dispatch/contact_clock_test.cpp
@@ -13,33 +13,33 @@
 
 constexpr auto MaxAge = milliseconds(500);
 
-// Guards against contact that is prolonged by an echo of something other than a recent heartbeat.
-const test_case Echoes("contact clock: which echoes count", [] {
+// Guards against contact that is extended by an echo of anything but a recent heartbeat of this process.
+const test_case Echoes("contact clock: which echoes are accepted", [] {
   runtime::manual_clock Clock;
   Clock.advance(milliseconds(10'000));
   contact_clock LocalClock(Clock, 77);
   auto Sent = LocalClock.now();
   auto SentTime = Clock.sinceBoot();
-  if (auto When = section("a recent one does, from when the clock was told or a little before")) {
+  if (auto When = section("a recent echo is accepted and dated to at most 2 ms before the clock was sent")) {
     Clock.advance(milliseconds(300));
     auto SentAt = LocalClock.sentAt(Sent, MaxAge);
     CPPUNIT_ASSERT(SentAt && *SentAt <= SentTime && *SentAt >= SentTime - milliseconds(2));
   }
-  if (auto When = section("an old one does not")) {
+  if (auto When = section("an old echo is ignored")) {
     Clock.advance(milliseconds(500));
     CPPUNIT_ASSERT(!LocalClock.sentAt(Sent, MaxAge));
   }
-  if (auto When = section("one from the future does not"))
+  if (auto When = section("an echo from the future is ignored"))
     CPPUNIT_ASSERT(!LocalClock.sentAt(Sent + 5, MaxAge));
-  if (auto When = section("no echo does not"))
+  if (auto When = section("a missing echo is ignored"))
     CPPUNIT_ASSERT(!LocalClock.sentAt(0, MaxAge));
-  if (auto When = section("one of an earlier process of the VM does not")) {
+  if (auto When = section("an echo for an earlier process of the VM is ignored")) {
     contact_clock Earlier(Clock, 500'000);
     CPPUNIT_ASSERT(!LocalClock.sentAt(Earlier.now(), MaxAge));
   }
 });
 
-// Guards against contact that ends when the clock wraps around.
+// Guards against contact that ends when the 32-bit clock wraps around.
 const test_case Wrap("contact clock: the clock wraps around", [] {
   runtime::manual_clock Clock;
   contact_clock LocalClock(Clock, ~0U - 100);
--- a/src/yuccaplank/dispatch/contact_plan.cpp
+++ b/src/yuccaplank/dispatch/contact_plan.cpp
@@ -13,7 +13,7 @@
     Domains[Vm.second.Domain].push_back(&Vm);
   std::set<std::string> Chosen;
   for (auto &[Domain, Members] : Domains) {
-    // By name among equally strong ones, so that a restart changes nothing.
+    // VMs of equal strength are ordered by name, so that a restart does not change the choice.
     std::ranges::sort(Members, [](const auto *Left, const auto *Right) {
       return std::tie(Right->second.Strength, Left->first) < std::tie(Left->second.Strength, Right->first);
     });
--- a/src/yuccaplank/dispatch/contact_plan_test.cpp
+++ b/src/yuccaplank/dispatch/contact_plan_test.cpp
@@ -19,60 +19,61 @@
   return Result;
 }
 
-// Guards against work of a VM that grows with the fleet, and against failure domains without a dispatcher.
-const test_case Choice("contact plan: who dispatches", [] {
+// Guards against a load per VM that grows with the fleet, and against failure domains without a dispatching
+// VM. Both follow from a wrong choice of dispatchers.
+const test_case Choice("contact plan: choice of the dispatching VMs", [] {
   if (auto Given = section("given a small fleet, all VMs dispatch")) {
     CPPUNIT_ASSERT_EQUAL(std::size_t{6}, chooseDispatchers(fleet(6, 2), 3).size());
   }
-  if (auto Given = section("given hundreds of VMs, three of each domain do, the strongest first")) {
+  if (auto Given = section("given hundreds of VMs, the three strongest of each domain dispatch")) {
     auto Chosen = chooseDispatchers(fleet(300, 6), 3);
     CPPUNIT_ASSERT_EQUAL(std::size_t{18}, Chosen.size());
     for (std::uint32_t Strong = 24; Strong < 30; ++Strong)
       CPPUNIT_ASSERT(Chosen.contains(fmt::format("vm{:03}", Strong)));
   }
   if (auto Given =
-          section("given an entry without a strength, as another version writes it, it comes last")) {
+          section("given an entry without a strength, as other versions write it, its VM ranks last")) {
     auto Vms = fleet(4, 1);
     Vms["vm000"].Strength = 0;
     CPPUNIT_ASSERT(!chooseDispatchers(Vms, 3).contains("vm000"));
   }
 });
 
-// Guards against callers of a failure domain that are not served because its dispatchers are lost, and
-// against contact with a whole fleet in ordinary times.
-const test_case Contacts("contact plan: whom a relaying VM contacts", [] {
+// Guards against callers of a failure domain that are not served because contact with all of its dispatchers
+// is lost, and against contact with the whole fleet in normal operation.
+const test_case Contacts("contact plan: contacts of a relaying VM", [] {
   auto Vms = fleet(60, 6);
   auto Dispatchers = chooseDispatchers(Vms, 3);
-  if (auto Given =
-          section("given a dispatcher of its domain in contact, it contacts only those of its domain")) {
+  if (auto Given = section(
+          "given a dispatcher of its domain in contact, it contacts only the dispatchers of its domain")) {
     auto Contacts =
         contactsOfRelay(Vms, Dispatchers, "d1", [](const std::string &Vm) { return Vm == "vm025"; });
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, Contacts.size());
     for (const std::string &Vm : Contacts)
       CPPUNIT_ASSERT_EQUAL(std::string("d1"), Vms.at(Vm).Domain);
   }
-  if (auto Given = section("given none in contact, it tries all dispatchers")) {
+  if (auto Given = section("given no dispatcher of its domain in contact, it contacts all dispatchers")) {
     CPPUNIT_ASSERT(contactsOfRelay(Vms, Dispatchers, "d1", [](const std::string &) { return false; }) ==
                    Dispatchers);
   }
-  if (auto Given = section("given a dispatcher whose entry is missing, it is passed over")) {
+  if (auto Given = section("given a dispatcher without an entry, it is skipped")) {
     Dispatchers.insert("vm999");
     auto Contacts = contactsOfRelay(Vms, Dispatchers, "d1", [](const std::string &) { return true; });
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, Contacts.size());
   }
 });
 
-// Guards against roles that move twice when a VM restarts, and against a fleet in which each VM that starts
-// believes itself the first of its domain.
-const test_case Decision("contact plan: when a VM takes up the role", [] {
+// Guards against roles that move twice when a VM restarts, and against a fleet whose VMs all dispatch because
+// each one starts before it sees the entries of the others.
+const test_case Decision("contact plan: when a VM starts and stops dispatching", [] {
   dispatching_options Options;
   dispatching_decision Role(Options);
   runtime::time_point Start{};
   CPPUNIT_ASSERT(!Role.update(Start, true));
-  if (auto Given = section("given a VM that was registered before, it takes it up at once")) {
+  if (auto Given = section("given a VM that was registered before, it dispatches at once")) {
     Role.onRegistered(Start, true);
     CPPUNIT_ASSERT(Role.update(Start, true));
-    if (auto When = section("a short loss of the choice changes nothing, a longer one does")) {
+    if (auto When = section("it stops only after it has not been chosen for the whole delay")) {
       CPPUNIT_ASSERT(Role.update(Start + Options.SettleDelay, false));
       CPPUNIT_ASSERT(Role.update(Start + 2 * Options.SettleDelay, true));
       auto Lost = Start + 3 * Options.SettleDelay;
@@ -80,11 +81,11 @@
       CPPUNIT_ASSERT(!Role.update(Lost + Options.RoleChangeDelay, false));
     }
   }
-  if (auto Given = section("given a first start, it waits for the entries of the others")) {
+  if (auto Given = section("given a VM's first registration, it waits for the entries of the other VMs")) {
     Role.onRegistered(Start, false);
     CPPUNIT_ASSERT(!Role.update(Start, true));
     CPPUNIT_ASSERT(!Role.update(Start + Options.SettleDelay, false));
-    if (auto When = section("a VM that is not chosen takes it up when it has been chosen for some time")) {
+    if (auto When = section("when it is chosen later, it dispatches after the delay")) {
       auto Chosen = Start + 2 * Options.SettleDelay;
       CPPUNIT_ASSERT(!Role.update(Chosen, true));
       CPPUNIT_ASSERT(Role.update(Chosen + Options.RoleChangeDelay, true));
--- a/src/yuccaplank/dispatch/entry_vm.cpp
+++ b/src/yuccaplank/dispatch/entry_vm.cpp
@@ -24,9 +24,9 @@
 constexpr auto TickInterval = std::chrono::milliseconds(50);
 constexpr std::size_t BusyQueueThreshold = 100;
 constexpr auto BusyScheduleDelay = std::chrono::milliseconds(2);
-// A VM that has not been in contact for this time is taken as removed for good.
+// A VM that has been out of contact for this time is treated as permanently removed.
 constexpr auto StaleRegistrationTimeout = std::chrono::seconds(15);
-// Queued jobs are looked at this often even when nothing else happens, so that refusals are not late.
+// The queue is processed this often even without messages, so that rejections are not late.
 constexpr auto ScheduleInterval = std::chrono::milliseconds(10);
 
 class entry_vm_impl final : public entry_vm, coordinator_ports, owner_ports, contact_ports {
@@ -35,13 +35,13 @@
       : Executor(Executor), Ports(Ports), Options(std::move(OptionsIn)),
         View(makeFleetView(Executor.clock(), Options.View)),
         Contacts(*View, *this, Self, Options.Dispatching.PerDomain),
-        Queue(makePlacementQueue(Executor.clock(), sender(), Options.Placement)),
+        Queue(makePlacementQueue(Executor.clock(), makeSender(), Options.Placement)),
         Jobs(makeJobCoordinator(Executor, *this, Options.Coordinator)),
         Owner(makeServerOwner(Executor, *this, Options.Ledger)), RelayAdapter(*this),
         Relay(makeJobRelay(Executor, RelayAdapter, Options.Relay)),
-        Waiters(*Jobs, sender(),
+        Waiters(*Jobs, makeSender(),
                 [this](std::uint64_t Job, const job_answer &Answer) { this->Ports.answer(Job, Answer); }),
-        Router(*Jobs, Waiters, *Relay, [this] { return relaysNewJobs(); }), Cancels(Executor, sender()),
+        Router(*Jobs, Waiters, *Relay, [this] { return relaysNewJobs(); }), Cancels(Executor, makeSender()),
         Decision(Options.Dispatching) {
     Self.set_role(schema::VM_RELAYS);
     Self.set_vm(Options.Vm);
@@ -50,7 +50,8 @@
     Self.set_strength(Options.Strength);
     View->setSelf(Self);
     runEvery(Options.HeartbeatInterval, [this] {
-      // What is given up is told before a heartbeat that prolongs contact with others.
+      // Expired contacts end first, so that the other VMs receive the consequences before a heartbeat that
+      // extends contact.
       endExpiredContacts();
       Contacts.sendHeartbeats();
     });
@@ -122,7 +123,7 @@
   void onClosed(const std::string &Vm) override {
     View->onConnectionBroken(Vm);
     auto Found = View->others().find(Vm);
-    // Who does not want contact would be met again and again.
+    // A VM that this one needs no contact with is not reconnected, since that would repeat without end.
     if (Found != View->others().end() && Found->second.InContact && Contacts.needsContact(Vm))
       Contacts.sendGreeting(Vm, Found->second.Address);
   }
@@ -150,7 +151,7 @@
       Cancels.ask(Job, Contacts.coordinatingVms(), Options.CancelTimeout, std::move(OnDone));
       return;
     }
-    // The dispatching VM asks the others in turn.
+    // The dispatching VM forwards the request to the others.
     std::string Dispatcher = View->dispatcherFor(Job, Options.Domain);
     std::vector<std::string> Recipients;
     if (!Dispatcher.empty())
@@ -165,7 +166,8 @@
   }
 
   void onPause() override {
-    // Before anybody counts as lost: a VM that believes itself alone would claim everything.
+    // Discovery restarts before contacts end. Otherwise this VM would assume that it is alone and claim all
+    // servers.
     View->restartDiscovery();
     Self.set_pauses(Self.pauses() + 1);
     View->setSelf(Self);
@@ -207,7 +209,7 @@
     for (const auto &[Vm, OtherVm] : View->others()) {
       schema::vm_report &Other = *Report.add_vms();
       Other = makeVmReport(OtherVm.Status, OtherVm.Address, OtherVm.InContact, Placer);
-      // Nothing may have been heard from it yet.
+      // The status is empty until the VM has sent one.
       Other.set_vm(Vm);
     }
     for (const schema::server_state &State : Owner->states())
@@ -217,7 +219,7 @@
   }
 
 private:
-  // What the relay needs of this VM.
+  // The services that the relay uses.
   struct relay_adapter final : relay_ports {
     explicit relay_adapter(entry_vm_impl &Vm) : Vm(Vm) {}
     void send(const std::string &To, schema::dispatch_message Message) override {
@@ -231,11 +233,11 @@
     entry_vm_impl &Vm;
   };
 
-  send_function sender() {
+  send_function makeSender() {
     return [this](const std::string &Vm, schema::dispatch_message Message) { send(Vm, std::move(Message)); };
   }
 
-  // Ports of the roles.
+  // Services that the roles use.
 
   void send(const std::string &Vm, schema::dispatch_message Message) override {
     if (Vm == Options.Vm) {
@@ -277,7 +279,7 @@
   [[nodiscard]] bool shouldOwn(const std::string &Rack, const std::string &Domain) const override {
     if (!View->discoveryComplete() || (Domain != Options.Domain && recentlyLostAll()))
       return false;
-    // The answer depends on all VMs and is asked for each server all the time.
+    // Ownership is cached: it depends on all VMs and is requested very often for each server.
     if (std::exchange(RackOwnershipViewVersion, View->version()) != View->version())
       RackOwnership.clear();
     auto [Entry, IsNew] = RackOwnership.try_emplace({Rack, Domain}, false);
@@ -288,7 +290,8 @@
 
   [[nodiscard]] bool anyOwnerOutOfContact() const override { return Contacts.anyOwnerOutOfContact(); }
 
-  // The term is the high part, so that a VM of an older registration can take over without the store.
+  // The term is the high part of the token, so that a VM with an older registration can take over without the
+  // store.
   std::uint64_t fencingToken(std::uint64_t Above) override {
     auto TokenOf = [&](std::uint32_t Term) {
       return (std::uint64_t{Term} << TermShift) | Self.registration();
@@ -307,7 +310,7 @@
   // Messages.
 
   void handle(const std::string &From, const schema::dispatch_message &Message) {
-    // What arrives late must not be dealt with as if its sender still counted on this VM.
+    // A late message must not be handled as if its sender still had contact with this VM.
     endExpiredContacts();
     switch (Message.body_case()) {
     case schema::dispatch_message::kStatus:
@@ -326,7 +329,7 @@
       scheduleSoon();
       break;
     case schema::dispatch_message::kServer:
-      // What a VM has sent before it was lost must not bring its servers back.
+      // Messages that a VM sent before contact ended must not bring back its servers.
       if (View->inContact(From))
         Queue->updateServer(From, Message.server());
       scheduleSoon();
@@ -378,7 +381,7 @@
         Owner->onClaimedElsewhere(From, Owned.server(), Owned.token());
       break;
     case schema::dispatch_message::kRelay:
-      // A VM that has been lost counts its jobs as given up.
+      // A VM that lost contact assumes that this VM has given up its relayed jobs.
       if (View->inContact(From))
         Waiters.onRelayed(From, Message.relay());
       else
@@ -397,7 +400,8 @@
 
   void onStatus(const schema::vm_status &Status) {
     std::vector<view_change> Changes = View->onStatus(Status);
-    // Before what the beginning of contact sends, which the other VM takes only when it is in contact.
+    // The reply precedes the messages that the start of contact causes, because the other VM accepts these
+    // only when it is in contact.
     if (Status.vm() != Options.Vm)
       Contacts.answerGreeting(Status, !Changes.empty());
     applyChanges(Changes);
@@ -431,7 +435,7 @@
   void onResume(const std::string &From, const schema::resume_session &Session) {
     Owner->onResume(From, Session);
     Waiters.onResume(From, Session);
-    // The other end has noticed a break that this end may have missed.
+    // The other VM has noticed a broken connection that this VM may have missed.
     if (Session.answer() || From == Options.Vm)
       return;
     sendResume(From, true);
@@ -495,7 +499,7 @@
     Jobs->onVmResumed(Vm, std::move(Session));
   }
 
-  // What placer and coordinators have told before may be lost.
+  // Messages that the placer and coordinators sent to each other before may be lost.
   void resyncPlacement(const std::string &Vm) {
     if (Placing && Contacts.coordinates(Vm))
       send(Vm, makeSubscription(false));
@@ -531,14 +535,15 @@
     Relay->onVmLost(Vm);
   }
 
-  // A VM that dispatches and does not know the placer yet relays while it can.
+  // A dispatching VM that does not know the placer yet relays its jobs if it can.
   [[nodiscard]] bool relaysNewJobs() const {
     if (Self.role() != schema::VM_DISPATCHES)
       return true;
     return Placer.empty() && !View->dispatcherFor(0, Options.Domain).empty();
   }
 
-  // Entries of VMs that were removed without a signal stay in the store and take the place of others.
+  // VMs that were removed without a signal keep their entries in the store and take the place of other VMs in
+  // the choice of dispatchers.
   void reportStaleVms() {
     time_point Before = Executor.clock().now() - StaleRegistrationTimeout;
     if (!Placing || PlacingSince >= Before)
@@ -616,7 +621,7 @@
     return Message;
   }
 
-  // With many jobs waiting, a look at all of them is not due for each message.
+  // With many waiting jobs, scheduling after every message would be too expensive.
   void scheduleSoon() {
     if (std::exchange(SchedulePosted, true))
       return;
@@ -672,16 +677,16 @@
   std::map<std::string, std::string> Incarnations;
   std::map<std::string, std::uint32_t> Sessions;
   std::map<std::string, std::uint64_t> OfferedVersions;
-  // Version of the view for which the roles were last looked at.
+  // Version of the view that the placer and the ownership of servers were last updated for.
   std::uint64_t AppliedViewVersion = 0;
-  // Whether racks, with their domains, are this VM's, under a version of the view.
+  // Whether this VM owns a rack of a failure domain, according to the version of the view below.
   mutable std::map<std::pair<std::string, std::string>, bool> RackOwnership;
   mutable std::uint64_t RackOwnershipViewVersion = 0;
   std::string Placer;
   bool Placing = false;
   time_point PlacingSince{};
   bool SchedulePosted = false;
-  // When contact with the last of the others was lost.
+  // When this VM lost contact with the last of the others.
   std::optional<time_point> LostAllAt;
   std::uint64_t DeclinedJobs = 0;
   runtime::lifetime Lifetime;
--- a/src/yuccaplank/dispatch/fleet_contacts.cpp
+++ b/src/yuccaplank/dispatch/fleet_contacts.cpp
@@ -6,7 +6,7 @@
 namespace yuccaplank::dispatch {
 namespace {
 
-// Lists of the VMs heard from grow with their number and change rarely.
+// Lists of VMs in contact grow with the fleet and change rarely, so only some heartbeats include one.
 constexpr std::uint64_t HeartbeatsPerPeerList = 10;
 
 bool mayCoordinate(const known_vm &Vm) { return Vm.InContact && Vm.Status.role() != schema::VM_RELAYS; }
@@ -67,7 +67,7 @@
 
 void fleet_contacts::sendHeartbeats() {
   bool WithPeers = ++Heartbeats % HeartbeatsPerPeerList == 0;
-  // A VM that dispatches answers all that contact it.
+  // A dispatching VM answers every VM that contacts it.
   bool ToAll = !isRelay() || Registered.empty();
   std::set<std::string> Contacts = ToAll ? std::set<std::string>() : contacts();
   std::optional<schema::dispatch_message> ToDispatchers;
@@ -150,7 +150,7 @@
         Lengths[Length.queue()] += Length.waiting();
   if (!isRelay())
     return Lengths;
-  // A VM that relays hears from few others, of which each tells the lengths of the fleet.
+  // A relaying VM is in contact with few others, each of which reports the queue lengths of the whole fleet.
   for (const auto &[Vm, OtherVm] : View.others())
     for (const schema::queue_length &Length : OtherVm.Status.fleet_queues())
       if (OtherVm.InContact)
--- a/src/yuccaplank/dispatch/fleet_contacts.hpp
+++ b/src/yuccaplank/dispatch/fleet_contacts.hpp
@@ -1,4 +1,4 @@
-// Contact with other VMs: whom this VM contacts, and the heartbeats that it sends them.
+// Decides which VMs this VM keeps in contact with, and sends them heartbeats.
 #pragma once
 
 #include "yuccaplank/dispatch/contact_plan.hpp"
@@ -13,7 +13,7 @@
 
 namespace yuccaplank::dispatch {
 
-/// Jobs that wait, by queue.
+/// Number of waiting jobs by queue.
 using queue_lengths = std::map<std::string, std::uint32_t>;
 void fillQueues(const queue_lengths &Lengths,
                 google::protobuf::RepeatedPtrField<schema::queue_length> &Queues);
@@ -21,10 +21,10 @@
 class contact_ports {
 public:
   virtual ~contact_ports() = default;
-  /// An empty Vm addresses whichever VM is at the address.
+  /// With an empty Vm, sends to whichever VM is at the address.
   virtual void sendTo(const std::string &Vm, const std::string &Address,
                       schema::dispatch_message Message) = 0;
-  /// Of the jobs that this VM coordinates.
+  /// Queue lengths of the jobs that this VM coordinates.
   [[nodiscard]] virtual queue_lengths localQueueLengths() const = 0;
   /// VMs that coordinate jobs of this VM's callers.
   [[nodiscard]] virtual std::set<std::string> jobCoordinators() const = 0;
@@ -32,15 +32,15 @@
 
 class fleet_contacts {
 public:
-  /// Self is the own status as it is told to others; it must outlive this object, as must View and Ports.
+  /// Self is this VM's status as sent to other VMs. Self, View and Ports must outlive this object.
   fleet_contacts(fleet_view &View, contact_ports &Ports, const schema::vm_status &Self, std::size_t PerDomain)
       : View(View), Ports(Ports), Self(Self), PerDomain(PerDomain) {}
 
-  /// The other VMs that are registered in the store.
+  /// Sets the other VMs that are registered in the store.
   void setRegistered(registered_vms Vms) { Registered = std::move(Vms); }
-  /// Addresses at which VMs may be, for a VM that is in contact with none.
+  /// Sets addresses at which VMs may be found, for use while no VM is in contact.
   void setSeeds(std::vector<std::string> Addresses) { Seeds = std::move(Addresses); }
-  /// Chooses who dispatches, from the registered VMs and the own status.
+  /// Chooses the dispatching VMs from the registered VMs and this VM's status.
   void chooseDispatchers();
   /// Whether this VM should dispatch.
   [[nodiscard]] bool isChosen() const { return Dispatchers.contains(Self.vm()); }
@@ -52,23 +52,24 @@
   [[nodiscard]] bool coordinates(const std::string &Vm) const;
   [[nodiscard]] std::vector<std::string> coordinatingVms() const;
 
-  /// Whether this VM keeps contact with the other one; that one may still contact this one.
+  /// Whether this VM keeps contact with Vm. If not, Vm may still contact this VM.
   [[nodiscard]] bool needsContact(const std::string &Vm) const;
-  /// Without entries from the store, contact spreads from the VMs that answer.
+  /// If the store has no entries, adds the VMs that an answering VM lists.
   void addPeers(const schema::vm_status &Status);
   void sendHeartbeats();
-  /// Tries the VMs that contact is wanted with and that are not in contact, and forgets the others.
+  /// Sends a greeting to each VM that this VM needs contact with and lacks, and removes VMs without contact
+  /// that it does not need.
   void contactOthers();
   void sendGreeting(const std::string &Vm, const std::string &Address);
-  /// Answers a status at once where contact has just begun or one side lacks it, so that it begins within a
-  /// round trip.
+  /// Answers a status immediately if contact has just begun or is missing on one side, so that it begins
+  /// within one round trip.
   void answerGreeting(const schema::vm_status &Greeting, bool ContactBegins);
 
-  /// Dispatching VMs by the store that have been out of contact since Before.
+  /// Dispatching VMs, according to the store, that have been out of contact since Before.
   [[nodiscard]] std::vector<std::string> dispatchersOutOfContactSince(runtime::time_point Before) const;
-  /// Whether a VM that may own servers is out of contact.
+  /// Whether any VM that may own servers is out of contact.
   [[nodiscard]] bool anyOwnerOutOfContact() const;
-  /// On any VM in contact.
+  /// Queue lengths of this VM and of all VMs in contact.
   [[nodiscard]] queue_lengths fleetQueueLengths() const;
 
 private:
@@ -82,7 +83,7 @@
   const schema::vm_status &Self;
   std::size_t PerDomain;
   registered_vms Registered;
-  // This VM included.
+  // Chosen dispatching VMs; may include this VM.
   std::set<std::string> Dispatchers;
   std::vector<std::string> Seeds;
   std::uint64_t Heartbeats = 0;
--- a/src/yuccaplank/dispatch/fleet_reports.hpp
+++ b/src/yuccaplank/dispatch/fleet_reports.hpp
@@ -1,4 +1,4 @@
-// Reports for operators from what a VM knows.
+// Converts this VM's state into reports for operators.
 #pragma once
 
 #include "dispatch.pb.h"
--- a/src/yuccaplank/dispatch/fleet_view.cpp
+++ b/src/yuccaplank/dispatch/fleet_view.cpp
@@ -12,8 +12,8 @@
 
 using runtime::time_point;
 
-// Rendezvous hashing: each VM scores each key, such as a rack, and the highest score wins. A change of one VM
-// moves only its keys.
+// Rendezvous hashing: each VM has a score for each key, such as a rack, and the highest score wins. When a VM
+// is added or lost, only its own keys move.
 double score(std::string_view Key, const schema::vm_status &Vm) {
   std::uint64_t Hash =
       XXH3_64bits_withSeed(Key.data(), Key.size(), XXH3_64bits(Vm.vm().data(), Vm.vm().size()));
@@ -26,7 +26,7 @@
   return Status.registration() > 0 && Status.serving() && Status.role() == schema::VM_DISPATCHES;
 }
 
-// What the choice of placer and owners depends on.
+// The parts of a status that the choice of placer, owners and dispatchers depends on.
 auto roleCriteria(const schema::vm_status &Status) {
   return std::tuple(Status.registration(), Status.serving(), Status.draining(), Status.pauses(),
                     Status.strength(), Status.domain(), Status.role());
@@ -192,10 +192,11 @@
     return Clock.sinceBoot() < Vm.LastAnsweredHeartbeat + Options.ContactLease;
   }
 
-  // Contact with some VM may end at this time.
-  void updateNextExpiry(time_point End) { NextExpiry = std::min(NextExpiry, End); }
+  // Lowers the time of the next expiry to Expiry.
+  void updateNextExpiry(time_point Expiry) { NextExpiry = std::min(NextExpiry, Expiry); }
 
-  // What was in contact stays so only by the echo of a VM that counts on this one.
+  // A VM in contact stays so only by an echo, which shows that the other VM has contact with this one. A
+  // greeting echo can only begin contact.
   void processEcho(known_vm &Vm, const schema::vm_status &Status) {
     std::uint32_t Echo = Status.echo_ms() > 0 || Vm.InContact ? Status.echo_ms() : Status.greeting_echo_ms();
     if (Echo == 0)
@@ -209,7 +210,7 @@
     updateNextExpiry(Vm.LastAnsweredHeartbeat + Options.ContactLease);
   }
 
-  // Tells whether the VM was in contact.
+  // Ends contact with the VM and returns whether it was in contact.
   bool resetContact(known_vm &Vm) {
     Vm.ConnectionBroken = false;
     Vm.ClockMs = 0;
@@ -221,7 +222,7 @@
 
   void bumpVersionIf(bool Changed) { Version += Changed ? 1 : 0; }
 
-  // The dispatching VM of the highest rank; empty when there is none.
+  // Returns the dispatching VM with the highest rank; empty if there is none.
   template <typename Ranking> [[nodiscard]] std::string highestRanked(Ranking RankOf) const {
     const schema::vm_status *Best = nullptr;
     decltype(RankOf(known_vm(), Self)) BestRank;
@@ -244,7 +245,7 @@
   fleet_view_options Options;
   contact_clock LocalClock;
   time_point StartedAt;
-  // No contact ends before, by the clock that counts suspension.
+  // No contact expires before this time, on the clock that counts suspension.
   time_point NextExpiry = time_point::max();
   std::uint64_t IgnoredEchoes = 0;
   schema::vm_status Self;
--- a/src/yuccaplank/dispatch/fleet_view_test.cpp
+++ b/src/yuccaplank/dispatch/fleet_view_test.cpp
@@ -25,54 +25,56 @@
   return Status;
 }
 
-// A status that answers the view's latest heartbeat.
-schema::vm_status answering(const fleet_view &View, schema::vm_status Status) {
-  schema::vm_status Own;
-  View.setClocks(Status.vm(), Own);
+// Returns Status as an answer to the view's latest heartbeat.
+schema::vm_status makeAnswer(const fleet_view &View, schema::vm_status Status) {
+  schema::vm_status OwnStatus;
+  View.setClocks(Status.vm(), OwnStatus);
   Status.set_clock_ms(5000);
-  Status.set_echo_ms(Own.clock_ms());
+  Status.set_echo_ms(OwnStatus.clock_ms());
   return Status;
 }
 
-std::vector<view_change> hear(fleet_view &View, const schema::vm_status &Status) {
-  return View.onStatus(answering(View, Status));
+std::vector<view_change> receiveAnswer(fleet_view &View, const schema::vm_status &Status) {
+  return View.onStatus(makeAnswer(View, Status));
 }
 
-// Guards against two VMs of one view with different roles, and against a restarted VM that takes a role back.
-const test_case Roles("fleet view: roles", [] {
+// Guards against VMs with the same view that choose different VMs for a role, and against a VM that takes a
+// role back right after its restart.
+const test_case Roles("fleet view: choice of placer, owners and dispatchers", [] {
   runtime::manual_clock Clock;
   auto View = makeFleetView(Clock);
   View->setSelf(statusOf("a", "d1", 7));
-  hear(*View, statusOf("b", "d1", 3));
-  hear(*View, statusOf("c", "d2", 5));
+  receiveAnswer(*View, statusOf("b", "d1", 3));
+  receiveAnswer(*View, statusOf("c", "d2", 5));
   CPPUNIT_ASSERT_EQUAL(std::string("b"), View->placer());
   if (auto When =
-          section("given a stronger VM, it places although it registered last, unless it was paused")) {
+          section("given a stronger VM that registered last, it is the placer unless it was paused")) {
     auto Strong = statusOf("d", "d2", 9);
     Strong.set_strength(500);
-    hear(*View, Strong);
+    receiveAnswer(*View, Strong);
     CPPUNIT_ASSERT_EQUAL(std::string("d"), View->placer());
     Strong.set_pauses(1);
-    hear(*View, Strong);
+    receiveAnswer(*View, Strong);
     CPPUNIT_ASSERT_EQUAL(std::string("b"), View->placer());
   }
-  if (auto When = section("given VMs that relay or are not registered, they have no role")) {
+  if (auto When = section("given VMs that relay or are not registered, none of them is chosen")) {
     View->endContact("b");
     View->endContact("c");
     auto Relaying = statusOf("d", "d2", 2);
     Relaying.set_role(schema::VM_RELAYS);
-    hear(*View, Relaying);
-    hear(*View, statusOf("e", "d2", 0));
+    receiveAnswer(*View, Relaying);
+    receiveAnswer(*View, statusOf("e", "d2", 0));
     CPPUNIT_ASSERT_EQUAL(std::string("a"), View->placer());
     CPPUNIT_ASSERT_EQUAL(std::string("a"), View->ownerOf("r1", "d2"));
     CPPUNIT_ASSERT_EQUAL(std::string(), View->dispatcherFor(7, "d1"));
   }
-  if (auto When = section("given a job to relay, a VM of the own domain takes it, or another one")) {
+  if (auto When = section(
+          "given a job to relay, a VM of the same domain is chosen, or another one if there is none")) {
     CPPUNIT_ASSERT_EQUAL(std::string("b"), View->dispatcherFor(7, "d1"));
     View->endContact("b");
     CPPUNIT_ASSERT_EQUAL(std::string("c"), View->dispatcherFor(7, "d1"));
   }
-  if (auto When = section("given racks of a domain with VMs, one of these owns them, each some")) {
+  if (auto When = section("given a domain with VMs, all of them share its racks and no other VM owns any")) {
     std::map<std::string, int> Racks;
     for (int Rack = 0; Rack < 40; ++Rack)
       ++Racks[View->ownerOf(fmt::format("r{}", Rack), "d1")];
@@ -80,18 +82,18 @@
     CPPUNIT_ASSERT(Racks["a"] > 8 && Racks["b"] > 8);
     CPPUNIT_ASSERT_EQUAL(std::string("c"), View->ownerOf("r1", "d2"));
   }
-  if (auto When = section("given a domain whose VM is lost, another domain's VM owns its racks")) {
+  if (auto When = section("given a domain whose only VM is lost, a VM of another domain owns its racks")) {
     View->endContact("c");
     CPPUNIT_ASSERT(!View->ownerOf("r1", "d2").empty());
   }
-  if (auto When = section("given a placer that drains, the next oldest places")) {
+  if (auto When = section("given a draining placer, the VM that registered next is the placer")) {
     auto Draining = statusOf("b", "d1", 3);
     Draining.set_draining(true);
-    hear(*View, Draining);
+    receiveAnswer(*View, Draining);
     CPPUNIT_ASSERT_EQUAL(std::string("c"), View->placer());
   }
   if (auto When =
-          section("given only draining VMs, as in a failure domain that is cut off, they keep the roles")) {
+          section("given only draining VMs, as in a failure domain that is cut off, they keep their roles")) {
     auto Draining = statusOf("a", "d1", 7);
     Draining.set_draining(true);
     View->setSelf(Draining);
@@ -100,61 +102,61 @@
     CPPUNIT_ASSERT_EQUAL(std::string("a"), View->placer());
     CPPUNIT_ASSERT_EQUAL(std::string("a"), View->ownerOf("r1", "d1"));
   }
-  if (auto When = section("given a VM that is not registered, it has no role")) {
+  if (auto When = section("given a VM that is not registered, another one is the placer")) {
     auto Unregistered = statusOf("b", "d1", 0);
-    hear(*View, Unregistered);
+    receiveAnswer(*View, Unregistered);
     CPPUNIT_ASSERT_EQUAL(std::string("c"), View->placer());
   }
 });
 
-// Guards against late detection, and against taking a broken connection for a death.
-const test_case Contact("fleet view: contact", [] {
+// Guards against late detection of a dead VM, and against treating a broken connection as a dead VM.
+const test_case Contact("fleet view: end of contact", [] {
   runtime::manual_clock Clock;
   Clock.advance(milliseconds(10'000));
   auto View = makeFleetView(Clock);
   View->setSelf(statusOf("a", "d1", 1));
-  auto Changes = hear(*View, statusOf("b", "d1", 2));
+  auto Changes = receiveAnswer(*View, statusOf("b", "d1", 2));
   CPPUNIT_ASSERT(Changes.at(0).Kind == view_change::kind::Found);
-  if (auto When = section("a silent VM is lost after 560 ms")) {
+  if (auto When = section("an unresponsive VM is lost after 560 ms")) {
     Clock.advance(milliseconds(558));
     CPPUNIT_ASSERT(View->tick().empty());
     Clock.advance(milliseconds(2));
     CPPUNIT_ASSERT(View->tick().at(0).Kind == view_change::kind::Lost);
   }
-  if (auto When = section("after a broken connection it has 250 ms")) {
+  if (auto When = section("after its connection broke, it has 250 ms to reconnect")) {
     View->onConnectionBroken("b");
-    if (auto Then = section("and is resumed when heard")) {
-      CPPUNIT_ASSERT(hear(*View, statusOf("b", "d1", 2)).at(0).Kind == view_change::kind::Resumed);
+    if (auto Then = section("it is resumed when its status arrives in time")) {
+      CPPUNIT_ASSERT(receiveAnswer(*View, statusOf("b", "d1", 2)).at(0).Kind == view_change::kind::Resumed);
     }
-    if (auto Then = section("and is lost when not")) {
+    if (auto Then = section("it is lost when no status arrives")) {
       Clock.advance(milliseconds(250));
       CPPUNIT_ASSERT(View->tick().at(0).Kind == view_change::kind::Lost);
     }
   }
 });
 
-// Guards against a VM that lags and acts for others which have given it up: contact counts from the sending
-// of the heartbeat that was answered, however late the answer is read.
-const test_case Lease("fleet view: contact is a lease on the own clock", [] {
+// Guards against a VM that lags and acts for others that have already given it up. Contact counts from the
+// sending of the answered heartbeat, however late the answer is read.
+const test_case Lease("fleet view: contact is a lease on the local clock", [] {
   runtime::manual_clock Clock;
   Clock.advance(milliseconds(10'000));
   auto View = makeFleetView(Clock);
   View->setSelf(statusOf("a", "d1", 1));
-  auto Early = answering(*View, statusOf("b", "d1", 2));
+  auto Early = makeAnswer(*View, statusOf("b", "d1", 2));
   if (auto When = section("a status that answers nothing begins no contact")) {
     CPPUNIT_ASSERT(View->onStatus(statusOf("b", "d1", 2)).empty());
     CPPUNIT_ASSERT(!View->inContact("b"));
-    if (auto Then = section("its clock is echoed as a greeting")) {
+    if (auto Then = section("the clock of that VM is echoed as a greeting")) {
       auto Greeting = statusOf("b", "d1", 2);
       Greeting.set_clock_ms(5000);
       View->onStatus(Greeting);
-      schema::vm_status Own;
-      View->setClocks("b", Own);
-      CPPUNIT_ASSERT_EQUAL(5000U, Own.greeting_echo_ms());
-      CPPUNIT_ASSERT_EQUAL(0U, Own.echo_ms());
+      schema::vm_status OwnStatus;
+      View->setClocks("b", OwnStatus);
+      CPPUNIT_ASSERT_EQUAL(5000U, OwnStatus.greeting_echo_ms());
+      CPPUNIT_ASSERT_EQUAL(0U, OwnStatus.echo_ms());
     }
   }
-  if (auto When = section("an answer that is read late leaves less time")) {
+  if (auto When = section("an answer that is read late leaves a shorter lease")) {
     Clock.advance(milliseconds(400));
     CPPUNIT_ASSERT(View->onStatus(Early).at(0).Kind == view_change::kind::Found);
     Clock.advance(milliseconds(158));
@@ -167,50 +169,52 @@
     CPPUNIT_ASSERT(View->onStatus(Early).empty());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, View->ignoredEchoes());
   }
-  if (auto When = section("the same answer twice prolongs nothing")) {
+  if (auto When = section("reading the same answer twice does not extend contact")) {
     View->onStatus(Early);
     Clock.advance(milliseconds(500));
     View->onStatus(Early);
     Clock.advance(milliseconds(60));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, View->tick().size());
   }
-  if (auto When = section("a VM that no longer counts on this one does not prolong contact")) {
+  if (auto When =
+          section("a greeting from a VM that has lost contact with this one does not extend contact")) {
     View->onStatus(Early);
     Clock.advance(milliseconds(500));
-    auto Greeting = answering(*View, statusOf("b", "d1", 2));
+    auto Greeting = makeAnswer(*View, statusOf("b", "d1", 2));
     Greeting.set_greeting_echo_ms(Greeting.echo_ms());
     Greeting.clear_echo_ms();
     CPPUNIT_ASSERT(View->onStatus(Greeting).empty());
     Clock.advance(milliseconds(60));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, View->tick().size());
   }
-  if (auto When = section("after a loss, what was heard before is not echoed")) {
+  if (auto When = section("after a loss, earlier clock values of that VM are not echoed")) {
     View->onStatus(Early);
     View->endContact("b");
-    schema::vm_status Own;
-    View->setClocks("b", Own);
-    CPPUNIT_ASSERT_EQUAL(0U, Own.echo_ms() + Own.greeting_echo_ms());
+    schema::vm_status OwnStatus;
+    View->setClocks("b", OwnStatus);
+    CPPUNIT_ASSERT_EQUAL(0U, OwnStatus.echo_ms() + OwnStatus.greeting_echo_ms());
   }
 });
 
-// Guards against a VM that has just started, or was paused, and believes itself alone.
-const test_case Introduction("fleet view: introduction", [] {
+// Guards against a VM that assumes it is alone because it has just started or was paused, and then claims all
+// servers.
+const test_case Discovery("fleet view: discovery", [] {
   runtime::manual_clock Clock;
   auto View = makeFleetView(Clock);
   View->setSelf(statusOf("a", "d1", 1));
   View->addAddress("b", "b:1");
   View->addAddress("c", "c:1");
-  hear(*View, statusOf("b", "d1", 2));
+  receiveAnswer(*View, statusOf("b", "d1", 2));
   CPPUNIT_ASSERT(!View->discoveryComplete());
-  if (auto When = section("it ends when each known VM was heard or is out of reach")) {
+  if (auto When = section("it is complete when each known VM is in contact or was found unreachable")) {
     View->onAddressUnreachable("c:1");
     CPPUNIT_ASSERT(View->discoveryComplete());
-    if (auto Then = section("and begins again after a pause")) {
+    if (auto Then = section("it is incomplete again after a restart of discovery")) {
       View->restartDiscovery();
       CPPUNIT_ASSERT(!View->discoveryComplete());
     }
   }
-  if (auto When = section("it ends after 700 ms in any case")) {
+  if (auto When = section("it is complete after 700 ms in any case")) {
     Clock.advance(milliseconds(700));
     CPPUNIT_ASSERT(View->discoveryComplete());
   }
--- a/src/yuccaplank/dispatch/lease_clock.hpp
+++ b/src/yuccaplank/dispatch/lease_clock.hpp
@@ -1,4 +1,4 @@
-// Clock of one backend server as its replies tell it, and the end of the leases that were given by it.
+// Estimates the clock of one backend server from its replies, and the time by which its leases have expired.
 #pragma once
 
 #include "yuccaplank/runtime/clock.hpp"
@@ -11,10 +11,10 @@
 
 class lease_clock {
 public:
-  /// Drift of the server's clock, and the error of the estimate of that clock.
+  /// Drift is the relative drift of the server's clock, and Error the error of the estimate of that clock.
   lease_clock(double Drift, runtime::duration Error) : Drift(Drift), Error(Error) {}
 
-  /// The server's clock, as told by a reply that has just arrived.
+  /// Sets the estimate to the clock value in a reply that arrives now.
   void setServerClock(runtime::time_point Now, const std::optional<std::int64_t> &ClockMs) {
     if (!ClockMs)
       return;
@@ -22,22 +22,23 @@
     UpdatedAt = Now;
   }
 
-  /// A lease has been given of this length at most, by this VM or a former owner.
+  /// Records that this VM or a former owner has given a lease of at most this length.
   void onLeaseGranted(runtime::time_point Now, runtime::duration Lease) {
-    auto Guard = std::chrono::duration_cast<runtime::duration>(Lease * (1 + Drift)) + Error;
-    ExpiresAt = std::max(ExpiresAt, Now + Guard);
+    auto MaxDuration = std::chrono::duration_cast<runtime::duration>(Lease * (1 + Drift)) + Error;
+    ExpiresAt = std::max(ExpiresAt, Now + MaxDuration);
   }
 
-  /// Lease end, on the server's clock, for an order that is sent now.
+  /// Extends the lease, and returns its end on the server's clock for an order that is sent now.
   std::int64_t extend(runtime::time_point Now, runtime::duration Lease) {
     onLeaseGranted(Now, Lease);
-    // A clock that is slow has not gone further than this; after seconds the difference exceeds Error.
+    // This assumes the slowest possible clock, so that the lease is not too long. After some seconds without
+    // a reply, the difference to the real clock exceeds Error.
     auto SinceUpdate = std::chrono::duration_cast<runtime::duration>((Now - UpdatedAt) * (1 - Drift));
     auto Left = std::chrono::duration_cast<std::chrono::milliseconds>(SinceUpdate + Lease);
     return ServerMs + Left.count();
   }
 
-  /// When no run can be alive any more unless the lease is extended again.
+  /// Time by which every run has ended unless the lease is extended again.
   [[nodiscard]] runtime::time_point expiresAt() const { return ExpiresAt; }
 
 private:
--- a/src/yuccaplank/dispatch/owner_messages.hpp
+++ b/src/yuccaplank/dispatch/owner_messages.hpp
@@ -10,15 +10,15 @@
 
 namespace yuccaplank::dispatch {
 
-/// What an end means for the coordinator.
+/// The event that reports the end of a run to its coordinator.
 schema::run_event toRunEvent(run_end End);
 
 schema::dispatch_message makeTaskEvent(const run_key &Run, schema::run_event Event, const std::string &Server,
                                        std::string_view Reason);
-/// What a claim under a token has found on a server.
+/// Asks coordinators to adopt the runs that a claim has found on a server.
 schema::dispatch_message makeAdoptRequest(const std::string &Server, std::uint64_t Token,
                                           const hold_reply &Found);
-/// The sender no longer owns the server that it held under a token.
+/// Reports that the sender no longer owns the server, which it held under Token.
 schema::dispatch_message makeYield(const std::string &Server, std::uint64_t Token);
 
 } // namespace yuccaplank::dispatch
--- a/src/yuccaplank/dispatch/run_limits.hpp
+++ b/src/yuccaplank/dispatch/run_limits.hpp
@@ -1,5 +1,5 @@
-// How long an owner may act for a coordinator that it has not heard from since: whatever the coordinator has
-// not told yet, its starts and runs end in time (docs/design.md, 2.6).
+// Limits on how long an owner acts for a coordinator after the last contact. The coordinator's starts and
+// runs end in time even if its later messages are lost (docs/design.md, 2.6).
 #pragma once
 
 #include "run_table.hpp"
@@ -10,16 +10,16 @@
 
 namespace yuccaplank::dispatch {
 
-/// When this VM sent the last heartbeat that a coordinator has answered, as ledger_ports tells it.
+/// When this VM sent the latest heartbeat that a coordinator has answered; see ledger_ports.
 using heartbeat_time = std::optional<runtime::time_point>;
 
 class run_limits {
 public:
   explicit run_limits(const ledger_options &Options) : Options(Options) {}
 
-  /// How long a start order for a coordinator may be under way.
-  [[nodiscard]] runtime::duration maxStartDelay(const heartbeat_time &LastAnsweredHeartbeat,
-                                                runtime::time_point SinceBoot) const {
+  /// Returns how long a start order of a coordinator may take to arrive at the server.
+  [[nodiscard]] runtime::duration startArrivalLimit(const heartbeat_time &LastAnsweredHeartbeat,
+                                                    runtime::time_point SinceBoot) const {
     if (!LastAnsweredHeartbeat)
       return runtime::duration::zero();
     if (isUnlimited(*LastAnsweredHeartbeat))
@@ -28,7 +28,8 @@
                     runtime::duration(*LastAnsweredHeartbeat + Options.StartLimit - SinceBoot));
   }
 
-  /// Notes until when a run may go on; while its coordinator is out of contact, what was noted last holds.
+  /// Updates the time until which a run may continue. While its coordinator is out of contact, the previous
+  /// value stays.
   void updateAllowedUntil(server_run &Run, const heartbeat_time &LastAnsweredHeartbeat) const {
     if (!LastAnsweredHeartbeat)
       return;
@@ -36,7 +37,8 @@
                                                            : *LastAnsweredHeartbeat + runLimit(Run);
   }
 
-  /// Lease to give at a server where runs may go on until a time; nothing when that is over.
+  /// Length of the lease for a server whose runs may continue until AllowedUntil; nothing if that time has
+  /// passed.
   [[nodiscard]] std::optional<runtime::duration> leaseDuration(runtime::time_point AllowedUntil,
                                                                runtime::time_point SinceBoot) const {
     if (AllowedUntil <= SinceBoot)
@@ -47,7 +49,7 @@
   }
 
 private:
-  // This VM's own runs have no limit but the lease.
+  // Runs that this VM coordinates are limited only by the lease.
   static bool isUnlimited(runtime::time_point Time) { return Time == runtime::time_point::max(); }
   [[nodiscard]] runtime::duration runLimit(const server_run &Run) const {
     return Run.Relayed ? Options.RelayedRunLimit : Options.RunLimit;
--- a/src/yuccaplank/dispatch/run_list_refresh.hpp
+++ b/src/yuccaplank/dispatch/run_list_refresh.hpp
@@ -1,5 +1,5 @@
-// Whether an owner has to ask a server what runs there before it starts anything. A server that was born
-// again has forgotten its fence, so that another VM may have ordered it under an earlier claim.
+// Decides whether an owner has to request a server's list of runs before it starts anything. A restarted
+// server has lost its fence, so another VM may have sent it orders under an earlier claim.
 #pragma once
 
 #include "yuccaplank/runtime/clock.hpp"
@@ -10,10 +10,10 @@
 
 class run_list_refresh {
 public:
-  /// Requests a list that is asked for from now on.
+  /// Requests a list. Only a list that is requested from the server at Now or later satisfies this.
   void request(runtime::time_point Now) { RequestedSince = Now; }
   [[nodiscard]] bool pending() const { return RequestedSince.has_value(); }
-  /// A list has arrived that was asked for at this time; tells whether it is the one that was requested.
+  /// Records a list that was requested at RequestedAt. Returns whether it satisfies the pending request.
   bool onList(runtime::time_point RequestedAt) {
     ListedAt = RequestedAt;
     if (!RequestedSince || RequestedAt < *RequestedSince)
@@ -23,18 +23,18 @@
   }
   void reset() { RequestedSince.reset(); }
 
-  /// Whether the server may have ended and be back since its last list; Wait is how long a list is waited
-  /// for.
+  /// Returns whether the server may have restarted since its last list was requested. Wait is how long the
+  /// server may delay its reply with a list.
   [[nodiscard]] bool mayHaveRestarted(runtime::time_point Now, runtime::duration Wait) const {
     return Now - ListedAt > Wait + MinRestartTime;
   }
 
 private:
-  // No server ends and is back in less time.
+  // No server restarts in less time.
   static constexpr auto MinRestartTime = std::chrono::milliseconds(100);
 
   std::optional<runtime::time_point> RequestedSince;
-  // When the last list was asked for.
+  // When the last received list was requested.
   runtime::time_point ListedAt{};
 };
 
--- a/src/yuccaplank/dispatch/run_table.cpp
+++ b/src/yuccaplank/dispatch/run_table.cpp
@@ -67,7 +67,7 @@
   return Result;
 }
 
-std::vector<run_key> run_table::runsEndingWithLease(bool IncludePendingStarts) const {
+std::vector<run_key> run_table::endingWithLease(bool IncludePendingStarts) const {
   std::vector<run_key> Result;
   for (const auto &[Run, State] : Runs)
     if (!State.StartPending || IncludePendingStarts)
--- a/src/yuccaplank/dispatch/run_table.hpp
+++ b/src/yuccaplank/dispatch/run_table.hpp
@@ -1,4 +1,4 @@
-// Runs on one backend server as its owner counts them.
+// The runs of one backend server in the record of its owner.
 #pragma once
 
 #include "resource_amounts.hpp"
@@ -15,33 +15,33 @@
 namespace yuccaplank::dispatch {
 
 enum class run_phase : std::uint8_t {
-  /// The start order has no answer yet.
+  /// The start order is not answered yet.
   Starting,
   Running,
-  /// The stop order has no answer yet.
+  /// The stop order is not answered yet.
   Stopping,
-  /// Void at the server: either its end will be listed or it never ran.
+  /// The server has confirmed the stop: it will list the run's end, or the run never started.
   StopConfirmed,
 };
 
 struct server_run {
-  /// Empty when nobody has claimed the run.
+  /// Empty if no coordinator has claimed the run.
   std::string Coordinator;
-  /// Whether the coordinator has the job from a VM that relays.
+  /// Whether another VM relayed the job to the coordinator.
   bool Relayed = false;
   schema::task_size Size;
   std::uint32_t EstimateMs = 0;
   run_phase Phase = run_phase::Starting;
   runtime::time_point StartedAt;
-  /// When the server had certainly dealt with the run's latest order; a list made after this that lacks the
-  /// run proves that it does not run.
+  /// When the server had certainly processed the run's latest order. If a list that was requested later lacks
+  /// the run, the run has ended or never started.
   std::optional<runtime::time_point> ConfirmedAt;
-  /// By this time, on the clock that counts suspension, the run must have ended unless its coordinator is
-  /// heard again; least before one is known.
+  /// The run must have ended by this time, on the clock that counts suspension, unless its coordinator
+  /// answers another heartbeat. time_point::min() until a first value is known.
   runtime::time_point AllowedUntil = runtime::time_point::min();
-  /// Found at a take-over and claimed by no coordinator yet; its size is not known.
+  /// Whether the run was found at a takeover and no coordinator has claimed it yet. Its size is not known.
   bool Unclaimed = false;
-  /// Whether the start may still be carried out, however late.
+  /// Whether the server may still carry out the start order.
   bool StartPending = true;
   std::string StopReason;
 };
@@ -51,7 +51,7 @@
   using map = std::map<run_key, server_run>;
 
   server_run &operator[](const run_key &Run) { return Runs[Run]; }
-  /// Null when the run is not here.
+  /// Returns null if the table does not contain the run.
   server_run *find(const run_key &Run);
   [[nodiscard]] bool contains(const run_key &Run) const { return Runs.contains(Run); }
   void erase(const run_key &Run) { Runs.erase(Run); }
@@ -63,21 +63,21 @@
   [[nodiscard]] map::const_iterator begin() const { return Runs.begin(); }
   [[nodiscard]] map::const_iterator end() const { return Runs.end(); }
 
-  /// Room that the runs take together.
+  /// Capacity that the runs take together.
   [[nodiscard]] schema::task_size used() const;
   [[nodiscard]] resource_amounts freeCapacity(const schema::task_size &Capacity) const;
   [[nodiscard]] bool containsTask(const task_key &Task) const;
   [[nodiscard]] bool anyUnclaimed() const;
   [[nodiscard]] std::set<std::string> coordinators() const;
   [[nodiscard]] std::vector<run_key> keys() const;
-  /// Until when a lease may last that holds for all runs but those that are void; the greatest time without
-  /// runs.
+  /// Latest end of a lease that is valid for all runs except those whose stop is confirmed; time_point::max()
+  /// without runs.
   [[nodiscard]] runtime::time_point allowedUntil() const;
-  /// Runs that a list lacks which was made after Sent, and so do not run.
+  /// Runs that certainly do not run, because a list that was requested at Sent lacks them.
   [[nodiscard]] std::vector<run_key> missingFrom(const std::vector<run_key> &Listed,
                                                  runtime::time_point Sent) const;
-  /// Runs that end with their lease; of those whose start is open, only with IncludeOpen.
-  [[nodiscard]] std::vector<run_key> runsEndingWithLease(bool IncludePendingStarts) const;
+  /// Runs that end when the lease expires. Runs whose start is pending are included only on request.
+  [[nodiscard]] std::vector<run_key> endingWithLease(bool IncludePendingStarts) const;
 
 private:
   map Runs;
--- a/src/yuccaplank/dispatch/server_health.hpp
+++ b/src/yuccaplank/dispatch/server_health.hpp
@@ -10,8 +10,9 @@
 
 namespace yuccaplank::dispatch {
 
-/// Learns from the ends of runs. A server on which several runs in a row end without a result gets no work
-/// for a time that doubles, and afterwards one run at a time until one is done.
+/// Learns from the results of runs. After several consecutive runs without a result the server is quarantined
+/// for a time that doubles with each quarantine. It is then on probation, with one run at a time, until one
+/// is done.
 class server_health {
 public:
   server_health(std::uint32_t FailuresToQuarantine, runtime::duration Initial, runtime::duration Max)
@@ -34,7 +35,7 @@
     Slowness += Weight * (std::log(std::max(TookMs, 1.0) / DeclaredMs) - Slowness);
   }
 
-  /// Whether the server is quarantined because of this failure.
+  /// Records a run that ended without a result. Returns whether this failure starts a quarantine.
   bool onFailure(runtime::time_point Now) {
     ++Failures;
     if (QuarantinedUntil || (!Probation && Failures < FailuresToQuarantine))
@@ -45,7 +46,7 @@
     return true;
   }
 
-  /// Ends a quarantine whose time is over; tells whether it did.
+  /// Ends a quarantine that has expired, and returns whether it did.
   bool endExpiredQuarantine(runtime::time_point Now) {
     if (!QuarantinedUntil || Now < *QuarantinedUntil)
       return false;
@@ -54,9 +55,9 @@
   }
 
 private:
-  // Observations that the assumption of an ordinary speed is worth.
+  // Number of observations that the initial assumption of ordinary speed counts as.
   static constexpr double PriorWeight = 1;
-  // Forgets a server's former speed within about ten runs.
+  // Limits the influence of a server's former speed to about ten runs.
   static constexpr double MinWeight = 0.1;
 
   std::uint32_t FailuresToQuarantine;
--- a/src/yuccaplank/dispatch/server_ledger.cpp
+++ b/src/yuccaplank/dispatch/server_ledger.cpp
@@ -24,18 +24,18 @@
 using runtime::time_point;
 
 enum class ownership : std::uint8_t {
-  /// Another VM's, or nobody's.
+  /// Another VM or no VM owns the server.
   None,
-  /// The fence is being raised.
+  /// A claim was sent to raise the fence and is not accepted yet.
   Claiming,
-  /// Waiting for coordinators to claim what runs there.
+  /// The claim was accepted; coordinators may still claim the runs that it found.
   Adopting,
   Owned,
 };
 
 constexpr unsigned MaxTokenStepDoublings = 16;
-// A start order with less time would mostly be refused.
-constexpr auto MinStartDelay = std::chrono::milliseconds(20);
+// With less time to arrive, most start orders would be rejected by the server.
+constexpr auto MinArrivalLimit = std::chrono::milliseconds(20);
 
 class server_ledger_impl final : public server_ledger {
 public:
@@ -57,12 +57,12 @@
 
   void onClaimedElsewhere(std::uint64_t OtherToken) override {
     if (OtherToken < Token) {
-      // A server that has taken an earlier claim has forgotten this one.
+      // If the server has accepted that earlier claim, it has lost the fence of this one.
       if (Ownership == ownership::Owned)
         requestRunList();
       return;
     }
-    HighestOtherToken = std::max(HighestOtherToken, OtherToken);
+    HighestKnownToken = std::max(HighestKnownToken, OtherToken);
     ReclaimAfter = now() + Options.ReclaimDelayInContact;
     release();
   }
@@ -111,8 +111,8 @@
       refuse(Coordinator, Run, Refusal);
       return;
     }
-    duration StartDelay = Limits.maxStartDelay(Ports.lastAnsweredHeartbeat(Coordinator), sinceBoot());
-    if (StartDelay < MinStartDelay) {
+    duration ArrivalLimit = Limits.startArrivalLimit(Ports.lastAnsweredHeartbeat(Coordinator), sinceBoot());
+    if (ArrivalLimit < MinArrivalLimit) {
       refuse(Coordinator, Run, "contact_nearly_over");
       return;
     }
@@ -123,8 +123,8 @@
     Started.EstimateMs = Request.estimate_ms();
     Started.StartedAt = now();
     ++Ports.counters().Started;
-    // The server refuses the order when it arrives after its coordinator may have given it up.
-    start_order Order{Run, Request.specification(), Token, Clock.extend(now(), StartDelay)};
+    // The server rejects the order if it arrives after the coordinator may have given up the run.
+    start_order Order{Run, Request.specification(), Token, Clock.extend(now(), ArrivalLimit)};
     Ports.orders().start(
         Entry.Target, std::move(Order),
         OwnershipLifetime.guard([this, Run](const order_reply &Reply) { onStartReply(Run, Reply); }));
@@ -175,7 +175,7 @@
       ExpectedRuns.insert(keyOf(Run.task()));
     for (auto &[Run, State] : Runs) {
       bool IsExpected = ExpectedRuns.contains(Run);
-      // The end of a run that was found at a take-over is told to the coordinator that asks for it late.
+      // A run that was found at a takeover may be claimed late. Its coordinator then receives the run's end.
       if (State.Coordinator.empty() && IsExpected && Ownership == ownership::Owned)
         State.Coordinator = Coordinator;
       if (State.Coordinator == Coordinator && !IsExpected)
@@ -185,7 +185,7 @@
 
   [[nodiscard]] bool idle() const override { return Runs.empty(); }
   [[nodiscard]] bool containsRun(const run_key &Run) const override { return Runs.contains(Run); }
-  [[nodiscard]] std::uint64_t highestToken() const override { return std::max(Token, HighestOtherToken); }
+  [[nodiscard]] std::uint64_t highestToken() const override { return std::max(Token, HighestKnownToken); }
   [[nodiscard]] bool owned() const override { return Ownership == ownership::Owned; }
   [[nodiscard]] bool unowned() const override { return Ownership == ownership::None; }
 
@@ -229,7 +229,8 @@
            Responsive && Health.usable();
   }
 
-  // A VM out of contact may have claimed the server after it was born again.
+  // Whether the server may have restarted, and so lost its fence, while a VM out of contact may have claimed
+  // it.
   [[nodiscard]] bool fenceMayBeLost() const {
     duration Wait = Runs.empty() ? duration::zero() : Options.HoldWait;
     return Ownership == ownership::Owned && ListRefresh.mayHaveRestarted(now(), Wait) &&
@@ -261,7 +262,7 @@
       Ports.send(Coordinator, makeTaskEvent(Run, Event, Entry.Target.Id, Reason));
   }
 
-  // Removes a run of which is certain that it does not run.
+  // Removes a run that has certainly ended or never started.
   void endRun(const run_key &Run, schema::run_event Event, std::string_view Reason) {
     server_run *Found = Runs.find(Run);
     if (!Found)
@@ -280,7 +281,8 @@
 
   [[nodiscard]] time_point sinceBoot() const { return Executor.clock().sinceBoot(); }
 
-  // Lease for all runs, as long as each coordinator allows.
+  // Extends the lease of all runs as far as every coordinator allows, and returns its end on the server's
+  // clock.
   std::optional<std::int64_t> extendLease() {
     for (auto &[Run, State] : Runs)
       Limits.updateAllowedUntil(State, Ports.lastAnsweredHeartbeat(State.Coordinator));
@@ -290,11 +292,11 @@
     return Clock.extend(now(), *Lease);
   }
 
-  // Take-over.
+  // Takeover.
 
   void sendClaim() {
-    // Each claim has a token of its own, so that orders under an earlier claim can be told apart.
-    Token = Ports.fencingToken(std::max(HighestOtherToken, Token));
+    // Each claim has its own token so that orders under an earlier claim can be distinguished.
+    Token = Ports.fencingToken(std::max(HighestKnownToken, Token));
     hold_order Order;
     Order.FencingToken = Token;
     Ports.orders().hold(Entry.Target, Order,
@@ -305,9 +307,9 @@
     if (Reply.Outcome == order_outcome::Fenced) {
       log(log_level::Info, "claim_fenced",
           {{"server", Entry.Target.Id}, {"token", static_cast<std::int64_t>(Token)}});
-      // The server does not tell its fence; doubled steps reach it soon even if all VMs have forgotten their
-      // terms.
-      HighestOtherToken =
+      // The server does not report its fence. Doubling the step reaches it quickly even if all VMs have lost
+      // their terms.
+      HighestKnownToken =
           Token + (std::uint64_t{1} << (TermShift + std::min(FencedClaims++, MaxTokenStepDoublings)));
       runAfter(Options.FencedClaimDelay, [this] { sendClaim(); });
       return;
@@ -361,7 +363,7 @@
     Ownership = ownership::Owned;
     for (auto &[Run, State] : Runs)
       if (State.Unclaimed) {
-        // Its size is not known, so nothing else fits until it has ended.
+        // The size of the run is not known, so it occupies the whole server until it ends.
         State.Size = Entry.Capacity;
         stopRun(Run, State, "unclaimed");
       }
@@ -376,7 +378,7 @@
 
   void loseOwnership() {
     ReclaimAfter = now() + Options.ReclaimDelay;
-    HighestOtherToken = std::max(HighestOtherToken, Token);
+    HighestKnownToken = std::max(HighestKnownToken, Token);
     log(log_level::Warning, "server_fenced_off",
         {{"server", Entry.Target.Id}, {"token", static_cast<std::int64_t>(Token)}});
     release();
@@ -384,8 +386,9 @@
 
   // Starts.
 
-  // The run that a reply is about; null when it is gone, or this VM's ownership with it.
-  server_run *findAnsweredRun(const run_key &Run, const order_reply &Reply) {
+  // Processes what all replies to starts and stops have in common. Returns the run that the reply refers to,
+  // or null if the run or this VM's ownership has ended.
+  server_run *processOrderReply(const run_key &Run, const order_reply &Reply) {
     Clock.setServerClock(now(), Reply.ClockMs);
     if (Reply.Outcome == order_outcome::Fenced) {
       loseOwnership();
@@ -395,7 +398,7 @@
   }
 
   void onStartReply(const run_key &Run, const order_reply &Reply) {
-    server_run *Found = findAnsweredRun(Run, Reply);
+    server_run *Found = processOrderReply(Run, Reply);
     if (!Found)
       return;
     server_run &State = *Found;
@@ -428,7 +431,7 @@
       Health.onFailure(now());
   }
 
-  // Stops. They are repeated until answered, since a start without an answer may be carried out much later.
+  // Stops. They are repeated until answered, because an unanswered start may be carried out much later.
 
   void stopRun(const run_key &Run, server_run &State, const char *Reason) {
     if (State.Phase == run_phase::Stopping || State.Phase == run_phase::StopConfirmed)
@@ -450,7 +453,7 @@
   }
 
   void onStopReply(const run_key &Run, const order_reply &Reply) {
-    server_run *Found = findAnsweredRun(Run, Reply);
+    server_run *Found = processOrderReply(Run, Reply);
     if (!Found)
       return;
     if (Reply.Outcome == order_outcome::Accepted || Reply.Outcome == order_outcome::Superseded) {
@@ -471,7 +474,7 @@
     });
   }
 
-  // Holds: renew the lease, learn of ends, acknowledge them.
+  // Holds renew the lease, report ended runs and acknowledge these reports.
 
   void sendHoldIfNeeded() {
     if (HoldPending || Ownership != ownership::Owned)
@@ -483,8 +486,7 @@
     Order.Observed = LastObservedEnd;
     if (!Runs.empty()) {
       Order.Wait = Options.HoldWait;
-      // A server that does not answer gets no longer lease, so that its runs have an end that can be
-      // computed.
+      // The lease of an unresponsive server is not extended, so that the end of its runs can be computed.
       if (Responsive)
         Order.LeaseEndMs = extendLease();
     }
@@ -530,7 +532,7 @@
     sendHoldIfNeeded();
   }
 
-  // The server may have ended and been born again, and has forgotten its fence then.
+  // If an order could not be sent, the server may have restarted and lost its fence.
   void requestRunListIfNotSent(order_outcome Outcome) {
     if (Outcome == order_outcome::NotSent)
       ListRefresh.request(now());
@@ -539,7 +541,7 @@
   void onHoldFailed(order_outcome Outcome) {
     ++Ports.counters().UnansweredOrders;
     requestRunListIfNotSent(Outcome);
-    // One reply that is lost or late says little of the server.
+    // A single lost or late reply is no evidence that the server is unresponsive.
     if (Responsive && ++UnansweredHolds < Options.UnansweredHoldLimit) {
       sendHoldIfNeeded();
       return;
@@ -558,7 +560,7 @@
     });
   }
 
-  // A silent server is asked again also when nothing runs there, since only an answer makes it usable.
+  // An unresponsive server is probed even when it has no runs, because only a reply makes it usable again.
   void probeUnresponsiveServer() {
     if (!Runs.empty() || Delisted || Ownership != ownership::Owned) {
       sendHoldIfNeeded();
@@ -609,8 +611,8 @@
       endRun(Run, schema::RUN_GONE, "not_listed");
   }
 
-  // What the former incarnation ran is gone with it; orders that were under way may have been carried out by
-  // the new one, which knows neither fencing tokens nor stops.
+  // The runs of the former incarnation ended with it. The new incarnation knows neither its fence nor its
+  // stops, and so may have carried out orders that were in flight.
   void onNewIncarnation(const hold_reply &Reply) {
     log(log_level::Warning, "server_reborn",
         {{"server", Entry.Target.Id},
@@ -625,7 +627,7 @@
         stopUnknownRun(Run);
   }
 
-  // Another server is at the address: this one has ended.
+  // Another server has the address, so this one has ended.
   void onServerReplaced() {
     log(log_level::Warning, "server_replaced",
         {{"server", Entry.Target.Id}, {"runs", static_cast<std::int64_t>(Runs.size())}});
@@ -634,9 +636,9 @@
     delist();
   }
 
-  // A run that nobody here has ordered under the current token, for example by an order of a former owner
-  // that was carried out late by a new incarnation. Its size is not known, so nothing else fits until it has
-  // ended.
+  // Stops a run that was not ordered here under the current token, such as one that a new incarnation started
+  // by a late order of a former owner. The size of the run is not known, so it occupies the whole server
+  // until it ends.
   void stopUnknownRun(const run_key &Run) {
     server_run &Unknown = Runs[Run];
     Unknown.Size = Entry.Capacity;
@@ -653,12 +655,12 @@
         stopUnknownRun(Run);
   }
 
-  // Ends of time.
+  // Expired leases and overdue runs.
 
   void endExpiredRuns(time_point Now) {
     if ((Responsive && !Delisted) || Now < Clock.expiresAt())
       return;
-    for (const run_key &Run : Runs.runsEndingWithLease(Delisted))
+    for (const run_key &Run : Runs.endingWithLease(Delisted))
       endRun(Run, schema::RUN_GONE, "lease_over");
   }
 
@@ -688,25 +690,26 @@
   ownership Ownership = ownership::None;
   std::uint64_t Token = 0;
   unsigned FencedClaims = 0;
-  // Of other VMs' claims, as far as known.
-  std::uint64_t HighestOtherToken = 0;
-  // Asks coordinators for the runs found at the latest claim.
+  // New claims use a higher token than this one. Claims of other VMs and rejected claims of this VM raise it.
+  std::uint64_t HighestKnownToken = 0;
+  // Asks coordinators to claim the runs that the latest claim found.
   schema::dispatch_message AdoptRequest;
   run_table Runs;
-  // Starts of late that were never answered and may still be carried out by a new incarnation.
+  // Recent unanswered starts that a new incarnation may still carry out, with the time when each was found
+  // unanswered.
   std::map<run_key, time_point> UnansweredStarts;
   std::int64_t IncarnationStartMs = 0;
   std::uint64_t LastObservedEnd = 0;
-  // Ends up to this one are known to be acknowledged at the server.
+  // Number of the latest end whose acknowledgement the server has certainly received.
   std::uint64_t LastAcknowledgedEnd = 0;
-  // When this VM may claim the server again.
+  // Earliest time at which this VM may claim the server again.
   time_point ReclaimAfter{};
   bool HoldPending = false;
   run_list_refresh ListRefresh;
   std::uint32_t UnansweredHolds = 0;
   bool Responsive = true;
   bool Delisted = false;
-  // Callbacks of calls made before the server was released are dropped.
+  // Drops callbacks of calls that were made before the server was released.
   runtime::lifetime OwnershipLifetime;
 };
 
--- a/src/yuccaplank/dispatch/server_ledger_test.cpp
+++ b/src/yuccaplank/dispatch/server_ledger_test.cpp
@@ -16,7 +16,7 @@
 constexpr std::uint64_t Job = 0x5c0e7a21d94b36f8;
 run_key runOf(std::uint32_t Index, std::uint32_t Run = 1) { return {{Job, Index}, Run}; }
 
-// Orders as given, answered when the test says so.
+// Records orders; the test answers them.
 struct recorded_orders final : server_orders {
   struct sent_start {
     start_order Order;
@@ -55,7 +55,7 @@
   std::uint64_t LastToken = 0;
   ledger_counters Counters;
   bool AnyOwnerOutOfContact = false;
-  // Of the coordinators' answers; as this VM's own by default.
+  // The same for all coordinators; by default the value of this VM itself.
   std::optional<runtime::time_point> LastAnsweredHeartbeat = runtime::time_point::max();
   std::unique_ptr<server_ledger> Ledger = makeServerLedger(*Executor, *this, entry());
 
@@ -83,8 +83,8 @@
     return LastAnsweredHeartbeat;
   }
 
-  static hold_reply listed(std::vector<run_key> Running, std::vector<listed_end> Ended = {},
-                           std::int64_t IncarnationStartMs = 1) {
+  static hold_reply makeListReply(std::vector<run_key> Running, std::vector<listed_end> Ended = {},
+                                  std::int64_t IncarnationStartMs = 1) {
     hold_reply Reply;
     Reply.Outcome = order_outcome::Accepted;
     Reply.ClockMs = 1000;
@@ -111,7 +111,7 @@
 
   void claim(const std::vector<run_key> &Running = {}) {
     Ledger->claim();
-    answerHold(listed(Running));
+    answerHold(makeListReply(Running));
   }
   void start(const run_key &Run, std::uint32_t Cpu = 30000) const {
     schema::start_task Request;
@@ -127,8 +127,9 @@
   }
 };
 
-// Guards against starts beyond the room of a server, which does not guard it itself.
-const test_case Room("server ledger: room", [] {
+// Guards against starts beyond the free capacity of a server, which does not check this itself. A placer's
+// grants may rest on outdated capacity.
+const test_case FreeCapacity("server ledger: free capacity", [] {
   owner Owner;
   Owner.claim();
   Owner.start(runOf(0));
@@ -136,130 +137,134 @@
   Owner.start(runOf(2));
   CPPUNIT_ASSERT_EQUAL(std::size_t{2}, Owner.Orders.Starts.size());
   CPPUNIT_ASSERT_EQUAL(schema::RUN_NOT_STARTED, Owner.lastEvent());
-  if (auto When = section("when a run is being stopped, its room is still taken")) {
+  if (auto When = section("when a run is being stopped, it still takes capacity")) {
     Owner.answerStart(order_outcome::Accepted);
     Owner.Ledger->stop("coordinator", runOf(0));
     Owner.answerStop(order_outcome::Accepted);
     Owner.start(runOf(3));
     CPPUNIT_ASSERT_EQUAL(schema::RUN_NOT_STARTED, Owner.lastEvent());
-    if (auto Then = section("until its end is listed")) {
-      Owner.answerHold(Owner.listed({runOf(1)}, {{1, runOf(0), run_end::Stopped}}));
+    if (auto Then = section("until the server lists its end")) {
+      Owner.answerHold(Owner.makeListReply({runOf(1)}, {{1, runOf(0), run_end::Stopped}}));
       Owner.start(runOf(4));
       CPPUNIT_ASSERT_EQUAL(std::size_t{2}, Owner.Orders.Starts.size());
     }
   }
 });
 
-// Guards against two runs of one task when a start without an answer is carried out seconds later.
-const test_case LateStart("server ledger: a start without an answer", [] {
+// Guards against two concurrent runs of one task, when an unanswered start is carried out seconds later.
+const test_case LateStart("server ledger: an unanswered start", [] {
   owner Owner;
   Owner.claim();
   Owner.start(runOf(0));
   Owner.answerStart(order_outcome::NoAnswer);
   CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Owner.Orders.Stops.size());
   CPPUNIT_ASSERT(Owner.Events.empty());
-  if (auto When = section("when the stop has no answer either, it is repeated and the run is not given up")) {
+  if (auto When = section("when the stop is not answered either, it is repeated and the run is kept")) {
     Owner.answerStop(order_outcome::NoAnswer);
     Owner.Executor->advance(milliseconds(150));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Owner.Orders.Stops.size());
     CPPUNIT_ASSERT(Owner.Events.empty());
     CPPUNIT_ASSERT_EQUAL(30000U, Owner.Ledger->state().used().cpu());
   }
-  if (auto When = section("when the stop is acknowledged and a later list lacks the run, it is gone")) {
+  if (auto When =
+          section("when the stop is confirmed and a list requested later lacks the run, the run is gone")) {
     Owner.answerStop(order_outcome::Accepted);
     Owner.Executor->advance(milliseconds(1));
-    // The first hold was sent before the stop was acknowledged and proves nothing.
-    Owner.answerHold(Owner.listed({}));
+    // The first hold was sent before the stop was confirmed, so its list proves nothing.
+    Owner.answerHold(Owner.makeListReply({}));
     CPPUNIT_ASSERT(Owner.Events.empty());
-    Owner.answerHold(Owner.listed({}));
+    Owner.answerHold(Owner.makeListReply({}));
     CPPUNIT_ASSERT_EQUAL(schema::RUN_GONE, Owner.lastEvent());
   }
 });
 
-// Guards against runs that outlive their owner or are retried while they may still run.
-const test_case Leases("server ledger: a server that does not answer", [] {
+// Guards against runs that outlive their owner, and against retries of a task whose run may still exist. Both
+// happen when the end of a lease is computed wrongly for an unresponsive server.
+const test_case Leases("server ledger: an unresponsive server", [] {
   owner Owner;
   Owner.claim();
   Owner.start(runOf(0));
   Owner.answerStart(order_outcome::Accepted);
-  auto Silent = hold_reply{};
-  Owner.answerHold(Silent);
-  // One lost reply says little.
+  auto NoReply = hold_reply{};
+  Owner.answerHold(NoReply);
+  // A single lost reply does not make the server unusable.
   CPPUNIT_ASSERT(Owner.Ledger->state().usable());
-  Owner.answerHold(Silent);
+  Owner.answerHold(NoReply);
   CPPUNIT_ASSERT(!Owner.Ledger->state().usable());
-  if (auto Then = section("its lease is not extended any more, and its runs are gone when it is over")) {
+  if (auto Then = section("its lease is not extended, and its runs are gone when the lease has expired")) {
     Owner.Executor->advance(milliseconds(150));
     CPPUNIT_ASSERT(!Owner.Orders.Holds.front().Order.LeaseEndMs.has_value());
     Owner.Ledger->tick();
     CPPUNIT_ASSERT(Owner.Events.empty());
     // The lease on a clock that is 2 % slow, and the error of its estimate.
     ledger_options Options;
-    auto Over =
+    auto LeaseExpiry =
         std::chrono::duration_cast<runtime::duration>(Options.LeaseDuration * (1 + Options.ClockDrift)) +
         Options.ClockError;
-    Owner.Executor->advance(Over - milliseconds(151));
+    Owner.Executor->advance(LeaseExpiry - milliseconds(151));
     Owner.Ledger->tick();
     CPPUNIT_ASSERT(Owner.Events.empty());
     Owner.Executor->advance(milliseconds(1));
     Owner.Ledger->tick();
     CPPUNIT_ASSERT_EQUAL(schema::RUN_GONE, Owner.lastEvent());
   }
-  if (auto Then = section("when it answers again in time, its run goes on under a longer lease")) {
+  if (auto Then =
+          section("when it answers before the lease expires, its run continues and the lease is extended")) {
     Owner.Executor->advance(milliseconds(150));
-    Owner.answerHold(Owner.listed({runOf(0)}));
+    Owner.answerHold(Owner.makeListReply({runOf(0)}));
     CPPUNIT_ASSERT(Owner.Ledger->state().usable());
     CPPUNIT_ASSERT(Owner.Orders.Holds.front().Order.LeaseEndMs.has_value());
     CPPUNIT_ASSERT(Owner.Events.empty());
   }
 });
 
-// Guards against runs and late starts for a coordinator that has given this owner up, when either of the two
-// lags: whatever it has not told yet, they end in time.
+// Guards against runs and late starts for a coordinator that has given up this owner because one of the two
+// lags. They have to end in time even if later messages from the coordinator are lost.
 const test_case Coordinators("server ledger: a coordinator that no longer answers", [] {
   owner Owner;
   Owner.claim();
   auto Now = [&] { return Owner.Executor->clock().sinceBoot(); };
   Owner.LastAnsweredHeartbeat = Now();
-  if (auto When = section("a start reaches the server within 560 ms of the heartbeat that was answered")) {
+  if (auto When = section("a start has to reach the server within 560 ms of the answered heartbeat")) {
     Owner.Executor->advance(milliseconds(300));
     Owner.start(runOf(0));
-    // The server's clock was 1000 when it was claimed; a slow one has not gone further than 294 ms.
+    // The server's clock was 1000 at the claim, and a slow one has advanced by 294 ms since.
     CPPUNIT_ASSERT_EQUAL(std::int64_t{1000 + 294 + 260}, Owner.Orders.Starts.at(0).Order.LeaseEndMs);
   }
-  if (auto When = section("shortly before that nothing is started")) {
+  if (auto When = section("shortly before these 560 ms end, nothing is started")) {
     Owner.Executor->advance(milliseconds(550));
     Owner.start(runOf(0));
     CPPUNIT_ASSERT(Owner.Orders.Starts.empty());
     CPPUNIT_ASSERT_EQUAL(schema::RUN_NOT_STARTED, Owner.lastEvent());
   }
-  if (auto When = section("nor is when the coordinator is out of contact")) {
+  if (auto When = section("nothing is started while the coordinator is out of contact")) {
     Owner.LastAnsweredHeartbeat.reset();
     Owner.start(runOf(0));
     CPPUNIT_ASSERT(Owner.Orders.Starts.empty());
   }
-  if (auto When = section("its runs last a second from then at most")) {
+  if (auto When = section("its runs end within 1 s of the answered heartbeat")) {
     Owner.start(runOf(0));
     Owner.answerStart(order_outcome::Accepted);
     Owner.Executor->advance(milliseconds(500));
-    Owner.answerHold(Owner.listed({runOf(0)}));
+    Owner.answerHold(Owner.makeListReply({runOf(0)}));
     CPPUNIT_ASSERT_EQUAL(std::int64_t{1000 + 500}, Owner.Orders.Holds.at(0).Order.LeaseEndMs.value());
-    if (auto Then = section("after which no lease is given, until their end is certain")) {
+    if (auto Then = section("after 1 s the lease is not extended any more")) {
       Owner.Executor->advance(milliseconds(500));
-      Owner.answerHold(Owner.listed({runOf(0)}));
+      Owner.answerHold(Owner.makeListReply({runOf(0)}));
       CPPUNIT_ASSERT(!Owner.Orders.Holds.at(0).Order.LeaseEndMs);
     }
-    if (auto Then = section("unless it answers again")) {
+    if (auto Then = section("when it answers again, the lease is extended")) {
       Owner.LastAnsweredHeartbeat = Now();
       Owner.Executor->advance(milliseconds(50));
-      Owner.answerHold(Owner.listed({runOf(0)}));
+      Owner.answerHold(Owner.makeListReply({runOf(0)}));
       CPPUNIT_ASSERT_EQUAL(std::int64_t{1000 + 900}, Owner.Orders.Holds.at(0).Order.LeaseEndMs.value());
     }
   }
 });
 
-// Guards against taking a run for gone whose former owner has given it a longer lease than this one.
-const test_case FormerLease("server ledger: the lease that a former owner gave", [] {
+// Guards against reporting a run as gone too early after a takeover, when the former owner has given it a
+// longer lease than this owner may give.
+const test_case FormerLease("server ledger: a lease given by a former owner", [] {
   owner Owner;
   Owner.claim({runOf(0)});
   schema::adopt_reply Reply;
@@ -278,8 +283,9 @@
   CPPUNIT_ASSERT_EQUAL(schema::RUN_GONE, Owner.lastEvent());
 });
 
-// Guards against a dead owner's runs going on beside their copies, and against losing those that can go on.
-const test_case TakeOver("server ledger: take-over", [] {
+// Guards against runs of a dead owner that continue beside their replacements, and against the loss of runs
+// that can continue. Both depend on which runs the coordinators claim after a takeover.
+const test_case Takeover("server ledger: takeover", [] {
   owner Owner;
   Owner.claim({runOf(0), runOf(1)});
   CPPUNIT_ASSERT_EQUAL(2, Owner.Adoptions.at(0).running_size());
@@ -291,26 +297,27 @@
   Adopted.mutable_size()->set_cpu(30000);
   Owner.Ledger->adopt("coordinator", Reply);
   Owner.Executor->advance(milliseconds(260));
-  if (auto Then =
-          section("what no coordinator claims is stopped, and until it has ended nothing else fits")) {
+  if (auto Then = section(
+          "a run that no coordinator claims is stopped and occupies the whole server until it has ended")) {
     CPPUNIT_ASSERT(runOf(1) == Owner.Orders.Stops.at(0).Run);
     Owner.start(runOf(2), 1000);
     CPPUNIT_ASSERT_EQUAL(schema::RUN_NOT_STARTED, Owner.lastEvent());
   }
-  if (auto Then = section("what is claimed is held and reported to its coordinator")) {
-    Owner.answerHold(Owner.listed({}, {{1, runOf(1), run_end::Stopped}, {2, runOf(0), run_end::Done}}));
+  if (auto Then = section("a claimed run is kept and its end is reported to its coordinator")) {
+    Owner.answerHold(
+        Owner.makeListReply({}, {{1, runOf(1), run_end::Stopped}, {2, runOf(0), run_end::Done}}));
     CPPUNIT_ASSERT_EQUAL(schema::RUN_DONE, Owner.lastEvent());
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Owner.Events.size());
   }
-  if (auto Then = section("an order under another claim's grant is refused")) {
+  if (auto Then = section("a start under the grant of another claim is refused")) {
     schema::start_task Stale;
     *Stale.mutable_task() = toMessage(runOf(5));
     Stale.set_token(Owner.Ledger->highestToken() - 1);
-    Owner.answerHold(Owner.listed({runOf(0)}, {{1, runOf(1), run_end::Stopped}}));
+    Owner.answerHold(Owner.makeListReply({runOf(0)}, {{1, runOf(1), run_end::Stopped}}));
     Owner.Ledger->start("coordinator", Stale);
     CPPUNIT_ASSERT_EQUAL(std::string("granted_under_another_token"), Owner.Events.back().reason());
   }
-  if (auto Then = section("a later claim of another VM ends the ownership, an earlier one does not")) {
+  if (auto Then = section("another VM's claim ends the ownership only if it has a higher token")) {
     Owner.Ledger->onClaimedElsewhere(Owner.Ledger->highestToken() - 1);
     CPPUNIT_ASSERT(!Owner.Ledger->unowned());
     Owner.Ledger->onClaimedElsewhere(Owner.Ledger->highestToken() + 1);
@@ -318,28 +325,29 @@
   }
 });
 
-// Guards against starts beyond a server's room when it was born again, has forgotten the later claim, and the
-// VM with the earlier one has ordered it.
-const test_case EarlierClaim("server ledger: another VM believed itself to own the server", [] {
+// Guards against starts beyond a server's free capacity when a restarted server has lost the fence of this
+// VM's claim and another VM has sent it orders under an earlier claim.
+const test_case EarlierClaim("server ledger: another VM has ordered runs under an earlier claim", [] {
   owner Owner;
   Owner.claim();
   Owner.Ledger->onClaimedElsewhere(Owner.Ledger->highestToken() - 1);
   Owner.start(runOf(0));
   CPPUNIT_ASSERT(Owner.Orders.Starts.empty());
-  Owner.answerHold(Owner.listed({runOf(7)}, {}, 2));
-  if (auto When = section("nothing is started beside what runs there")) {
+  Owner.answerHold(Owner.makeListReply({runOf(7)}, {}, 2));
+  if (auto When = section("nothing is started while the other VM's run continues")) {
     Owner.start(runOf(0));
     CPPUNIT_ASSERT(Owner.Orders.Starts.empty());
   }
-  if (auto When = section("once that has ended the server is used again")) {
+  if (auto When = section("when that run has ended, the server is used again")) {
     Owner.answerStop(order_outcome::Accepted);
-    Owner.answerHold(Owner.listed({}, {{1, runOf(7), run_end::Stopped}}, 2));
+    Owner.answerHold(Owner.makeListReply({}, {{1, runOf(7), run_end::Stopped}}, 2));
     Owner.start(runOf(0));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Owner.Orders.Starts.size());
   }
 });
 
-// Guards against the same while another owner is out of contact and cannot tell.
+// Guards against starts beyond a server's free capacity, when a restarted server may have lost its fence and
+// another possible owner is out of contact and cannot report its claim.
 const test_case MissingOwner("server ledger: another VM that may own the server is out of contact", [] {
   owner Owner;
   Owner.claim();
@@ -348,16 +356,17 @@
   Owner.start(runOf(0));
   CPPUNIT_ASSERT(Owner.Orders.Starts.empty());
   CPPUNIT_ASSERT_EQUAL(schema::RUN_NOT_STARTED, Owner.lastEvent());
-  if (auto When = section("an idle server is used after it has told that nothing runs there")) {
-    Owner.answerHold(Owner.listed({}));
+  if (auto When = section("an idle server is used after its list shows no runs")) {
+    Owner.answerHold(Owner.makeListReply({}));
     Owner.start(runOf(0));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Owner.Orders.Starts.size());
-    if (auto Then = section("and at once while something does, since it is heard all the time")) {
+    if (auto Then =
+            section("and immediately while it has runs, because its holds return lists continuously")) {
       Owner.Executor->advance(milliseconds(200));
       Owner.start(runOf(1));
       CPPUNIT_ASSERT_EQUAL(std::size_t{2}, Owner.Orders.Starts.size());
     }
-    if (auto Then = section("unless its answer is overdue")) {
+    if (auto Then = section("unless its reply is overdue")) {
       Owner.Executor->advance(milliseconds(260));
       Owner.start(runOf(1));
       CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Owner.Orders.Starts.size());
@@ -365,7 +374,8 @@
   }
 });
 
-// Guards against the same where an order could not be sent, so that the server may have ended and begun anew.
+// Guards against starts beyond a server's free capacity after an order could not be sent, because the server
+// may have restarted and lost its fence.
 const test_case NotSent("server ledger: an order that could not be sent", [] {
   owner Owner;
   Owner.claim();
@@ -373,21 +383,21 @@
   Owner.Executor->advance(milliseconds(1));
   Owner.answerStart(order_outcome::NotSent);
   CPPUNIT_ASSERT_EQUAL(schema::RUN_NOT_STARTED, Owner.lastEvent());
-  if (auto When = section("a list that was asked for before does not tell what runs there"))
-    Owner.answerHold(Owner.listed({}));
+  if (auto When = section("a list that was requested before the failure does not make the server usable"))
+    Owner.answerHold(Owner.makeListReply({}));
   Owner.start(runOf(1));
   CPPUNIT_ASSERT(Owner.Orders.Starts.empty());
-  if (auto When = section("one that was asked for since does")) {
-    Owner.answerHold(Owner.listed({}));
-    Owner.answerHold(Owner.listed({}));
+  if (auto When = section("a list that was requested after the failure does")) {
+    Owner.answerHold(Owner.makeListReply({}));
+    Owner.answerHold(Owner.makeListReply({}));
     Owner.start(runOf(2));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Owner.Orders.Starts.size());
   }
 });
 
-// Guards against taking a run for gone that a new incarnation has started, and against unknown runs beyond
-// the room.
-const test_case Reborn("server ledger: a server that was born again", [] {
+// Guards against reporting a run as gone that a new incarnation of the server has started, and against starts
+// beyond the server's free capacity beside unknown runs.
+const test_case Restart("server ledger: a server restarted as a new incarnation", [] {
   owner Owner;
   Owner.claim();
   Owner.start(runOf(0));
@@ -395,22 +405,24 @@
   Owner.start(runOf(1));
   Owner.answerStart(order_outcome::Accepted);
   Owner.Executor->advance(milliseconds(1));
-  Owner.answerHold(Owner.listed({runOf(0), runOf(1)}));
-  if (auto When = section("when it runs one of two tasks, the other is gone")) {
+  Owner.answerHold(Owner.makeListReply({runOf(0), runOf(1)}));
+  if (auto When = section("when it lists one of two runs, the other is gone")) {
     Owner.Executor->advance(milliseconds(1));
-    Owner.answerHold(Owner.listed({runOf(1)}, {}, 2));
+    Owner.answerHold(Owner.makeListReply({runOf(1)}, {}, 2));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Owner.Events.size());
     CPPUNIT_ASSERT_EQUAL(schema::RUN_GONE, Owner.lastEvent());
     CPPUNIT_ASSERT(Owner.Ledger->containsRun(runOf(1)));
   }
-  if (auto When = section("when it runs what nobody here has ordered, that is stopped and takes all room")) {
-    Owner.answerHold(Owner.listed({runOf(0), runOf(1), runOf(7)}, {}, 2));
+  if (auto When = section(
+          "when it lists a run that was not ordered here, that run is stopped and fills the server")) {
+    Owner.answerHold(Owner.makeListReply({runOf(0), runOf(1), runOf(7)}, {}, 2));
     CPPUNIT_ASSERT(runOf(7) == Owner.Orders.Stops.at(0).Run);
     CPPUNIT_ASSERT(Owner.Ledger->state().used().cpu() >= 64000);
   }
 });
 
-// Guards against a server that fails or hangs all its tasks and, being fast at it, gets ever more of them.
+// Guards against a server that fails or hangs all its tasks and, because its runs end fast, receives more and
+// more of them.
 const test_case Quarantine("server ledger: quarantine", [] {
   owner Owner;
   Owner.claim();
@@ -418,12 +430,12 @@
     CPPUNIT_ASSERT(Owner.Ledger->state().usable());
     Owner.start(runOf(Index));
     Owner.answerStart(order_outcome::Accepted);
-    Owner.answerHold(Owner.listed({}, {{Index + 1, runOf(Index), run_end::Failed}}));
+    Owner.answerHold(Owner.makeListReply({}, {{Index + 1, runOf(Index), run_end::Failed}}));
     // The end is acknowledged.
-    Owner.answerHold(Owner.listed({}));
+    Owner.answerHold(Owner.makeListReply({}));
   }
   CPPUNIT_ASSERT(!Owner.Ledger->state().usable());
-  if (auto When = section("when its time is over, it gets one task at a time")) {
+  if (auto When = section("when the quarantine has expired, it gets one task at a time")) {
     Owner.Executor->advance(milliseconds(1001));
     Owner.Ledger->tick();
     CPPUNIT_ASSERT(Owner.Ledger->state().usable());
@@ -431,21 +443,21 @@
     Owner.start(runOf(10));
     Owner.start(runOf(11));
     CPPUNIT_ASSERT_EQUAL(std::string("on_probation"), Owner.Events.back().reason());
-    if (auto Then = section("until one is done")) {
+    if (auto Then = section("until one task is done")) {
       Owner.answerStart(order_outcome::Accepted);
-      Owner.answerHold(Owner.listed({}, {{4, runOf(10), run_end::Done}}));
+      Owner.answerHold(Owner.makeListReply({}, {{4, runOf(10), run_end::Done}}));
       CPPUNIT_ASSERT_EQUAL(0U, Owner.Ledger->state().task_limit());
     }
   }
 });
 
-// Guards against tasks that stand still until their job's deadline.
-const test_case Overdue("server ledger: a task that stands still", [] {
+// Guards against tasks that make no progress and would block their job until its deadline.
+const test_case Overdue("server ledger: a task without progress", [] {
   owner Owner;
   Owner.claim();
   Owner.start(runOf(0));
   Owner.answerStart(order_outcome::Accepted);
-  // Five times the declared 100 ms and 200 ms more.
+  // Five times the declared 100 ms plus 200 ms.
   Owner.Executor->advance(milliseconds(690));
   Owner.Ledger->tick();
   CPPUNIT_ASSERT(Owner.Orders.Stops.empty());
--- a/src/yuccaplank/dispatch/server_owner.cpp
+++ b/src/yuccaplank/dispatch/server_owner.cpp
@@ -11,7 +11,7 @@
 namespace yuccaplank::dispatch {
 namespace {
 
-// Ends that are remembered for coordinators whose session broke before they heard of them.
+// Run ends that are kept for coordinators whose session broke before they received them.
 constexpr std::size_t MaxRecentEnds = 512;
 
 struct owned_server {
@@ -100,7 +100,7 @@
       runtime::log(runtime::log_level::Info, "server_taken_over", {{"server", Server}, {"owner", NewOwner}});
   }
 
-  // A server in use is heard all the time.
+  // Servers with runs send their lists continuously, so only idle ones need a request.
   void onOwnerFound() override {
     for (auto &[Id, Server] : Servers)
       if (Server.Ledger->owned() && Server.Ledger->idle())
@@ -182,7 +182,7 @@
     Ports.send(Vm, std::move(Message));
   }
 
-  // States of one turn are sent together, each server once.
+  // Collects the changes of one executor turn, so that each server's state is sent once.
   void onCapacityChanged(const std::string &Server) override {
     ChangedServers.insert(Server);
     if (ChangedServers.size() == 1)
@@ -231,11 +231,11 @@
     if (Ended != RecentEnds.end()) {
       *Message.mutable_event() = *Ended;
     } else if (Ledger && Ledger->owned()) {
-      // Neither running nor ended here: the start never arrived.
+      // The run neither exists nor ended here, so the start order never arrived.
       Message = makeTaskEvent(Run, schema::RUN_GONE, ExpectedRun.server(), "not_received");
     } else {
-      // Whatever was ordered under an earlier claim is out of this VM's hands, until it claims the server
-      // anew.
+      // This VM does not control runs that were ordered under an earlier claim until it claims the server
+      // again.
       Message = makeYield(ExpectedRun.server(), 0);
       *Message.mutable_yield()->mutable_run() = ExpectedRun.task();
     }
@@ -264,7 +264,7 @@
   std::map<std::string, owned_server> Servers;
   std::set<std::string> Subscribers;
   std::set<std::string> ChangedServers;
-  // Grants whose fate the next state of their server contains, by placer and server.
+  // Grants whose result is included in the next state of their server, by placer and server.
   std::map<std::string, std::map<std::string, std::vector<std::uint64_t>>> HandledGrants;
   std::map<std::string, std::uint32_t> Sessions;
   std::deque<schema::task_event> RecentEnds;
