--- a/include/yuccaplank/dispatch/configuration.hpp
+++ b/include/yuccaplank/dispatch/configuration.hpp
@@ -37,7 +37,7 @@
   request_limits Limits;
 
   /// Queue with the longest prefix of Path among those of Host; null when there is none.
-  [[nodiscard]] const queue_settings *find(std::string_view Host, std::string_view Path) const;
+  [[nodiscard]] const queue_settings *findQueue(std::string_view Host, std::string_view Path) const;
 };
 
 } // namespace yuccaplank::dispatch
--- a/include/yuccaplank/dispatch/job_coordinator.hpp
+++ b/include/yuccaplank/dispatch/job_coordinator.hpp
@@ -58,7 +58,7 @@
 class job_coordinator : public job_service {
 public:
   /// Jobs of which no task has been started, by queue.
-  [[nodiscard]] virtual std::map<std::string, std::uint32_t> waiting() const = 0;
+  [[nodiscard]] virtual std::map<std::string, std::uint32_t> queueLengths() const = 0;
 
   virtual void onGrant(const std::string &Placer, const schema::grant &Grant) = 0;
   virtual void onReject(const schema::reject_job &Rejection) = 0;
--- a/include/yuccaplank/dispatch/messages.hpp
+++ b/include/yuccaplank/dispatch/messages.hpp
@@ -28,7 +28,7 @@
   bool operator<(const run_key &Other) const { return std::tie(Task, Run) < std::tie(Other.Task, Other.Run); }
 };
 
-inline run_key keyOf(const schema::task_run &Run) { return {{Run.job(), Run.index()}, Run.run()}; }
+inline run_key toRunKey(const schema::task_run &Run) { return {{Run.job(), Run.index()}, Run.run()}; }
 schema::task_run toMessage(const run_key &Run);
 
 /// "16 hexadecimal digits/index#run", for logs.
--- a/include/yuccaplank/dispatch/placement_queue.hpp
+++ b/include/yuccaplank/dispatch/placement_queue.hpp
@@ -40,7 +40,7 @@
 public:
   virtual ~placement_queue() = default;
   /// Tasks of a coordinator wait; replaces what was known of the named tasks.
-  virtual void place(const std::string &Coordinator, const schema::place_job &Job) = 0;
+  virtual void enqueue(const std::string &Coordinator, const schema::place_job &Job) = 0;
   virtual void withdraw(const std::string &Coordinator, const schema::withdraw_job &Withdrawal) = 0;
   virtual void decline(const std::string &Coordinator, const schema::decline_grant &Declined) = 0;
   virtual void updateServer(const std::string &Owner, const schema::server_state &State) = 0;
--- a/src/yuccaplank/dispatch/cancel_exchanges.cpp
+++ b/src/yuccaplank/dispatch/cancel_exchanges.cpp
@@ -7,8 +7,8 @@
     Executor.cancel(Exchange.Timer);
 }
 
-void cancel_exchanges::ask(std::uint64_t Job, const std::vector<std::string> &Vms, runtime::duration Timeout,
-                           done_function OnDone) {
+void cancel_exchanges::sendCancel(std::uint64_t Job, const std::vector<std::string> &Vms,
+                                  runtime::duration Timeout, done_function OnDone) {
   std::uint64_t Id = ++LastId;
   exchange &Exchange = Open[Id];
   Exchange.OnDone = std::move(OnDone);
--- a/src/yuccaplank/dispatch/cancel_exchanges.hpp
+++ b/src/yuccaplank/dispatch/cancel_exchanges.hpp
@@ -26,8 +26,8 @@
 
   /// OnDone runs once: with true when a VM had the job, with false when all have answered or the time is
   /// over.
-  void ask(std::uint64_t Job, const std::vector<std::string> &Vms, runtime::duration Timeout,
-           done_function OnDone);
+  void sendCancel(std::uint64_t Job, const std::vector<std::string> &Vms, runtime::duration Timeout,
+                  done_function OnDone);
   void onReply(const std::string &Vm, const schema::cancel_submitted_reply &Reply);
 
 private:
--- a/src/yuccaplank/dispatch/entry_vm.cpp
+++ b/src/yuccaplank/dispatch/entry_vm.cpp
@@ -147,7 +147,7 @@
       return;
     }
     if (!Contacts.relays()) {
-      Cancels.ask(Job, Contacts.coordinatingVms(), Options.CancelTimeout, std::move(OnDone));
+      Cancels.sendCancel(Job, Contacts.coordinatingVms(), Options.CancelTimeout, std::move(OnDone));
       return;
     }
     // The dispatching VM asks the others in turn.
@@ -155,7 +155,7 @@
     std::vector<std::string> Asked;
     if (!Dispatcher.empty())
       Asked.push_back(Dispatcher);
-    Cancels.ask(Job, Asked, 2 * Options.CancelTimeout, std::move(OnDone));
+    Cancels.sendCancel(Job, Asked, 2 * Options.CancelTimeout, std::move(OnDone));
   }
 
   [[nodiscard]] std::uint32_t waiting(const std::string &QueueName) const override {
@@ -212,7 +212,7 @@
     }
     for (const schema::server_state &State : Owner->states())
       *Report.add_servers() = makeServerReport(State, Options.Vm);
-    fillQueues(Jobs->waiting(), *Report.mutable_queues());
+    fillQueues(Jobs->queueLengths(), *Report.mutable_queues());
     return Report;
   }
 
@@ -256,7 +256,7 @@
   void sendTo(const std::string &Vm, const std::string &Address, schema::dispatch_message Message) override {
     Ports.send(Vm, Address, std::move(Message));
   }
-  [[nodiscard]] queue_lengths waitingHere() const override { return Jobs->waiting(); }
+  [[nodiscard]] queue_lengths waitingHere() const override { return Jobs->queueLengths(); }
   [[nodiscard]] std::set<std::string> jobHolders() const override { return Relay->dispatchers(); }
   [[nodiscard]] std::string placer() const override { return Placer; }
   [[nodiscard]] bool reachable(const std::string &Vm) const override { return View->inContact(Vm); }
@@ -315,7 +315,7 @@
       break;
     case schema::dispatch_message::kPlace:
       setPlacing(true);
-      Queue->place(From, Message.place());
+      Queue->enqueue(From, Message.place());
       scheduleSoon();
       break;
     case schema::dispatch_message::kWithdraw:
@@ -380,7 +380,7 @@
     case schema::dispatch_message::kRelay:
       // A VM that has been lost counts its jobs as given up.
       if (View->inContact(From))
-        Waiters.onRelayed(From, Message.relay());
+        Waiters.onRelayJob(From, Message.relay());
       else
         declineRelayed(From, Message.relay());
       break;
@@ -388,7 +388,7 @@
       Relay->onAnswer(From, Message.relayed());
       break;
     case schema::dispatch_message::kWithdrawRelayed:
-      Waiters.onWithdrawn(From, Message.withdraw_relayed());
+      Waiters.onWithdrawRelayed(From, Message.withdraw_relayed());
       break;
     case schema::dispatch_message::BODY_NOT_SET:
       break;
@@ -413,7 +413,7 @@
         {{"job", formatJob(Job.job())}, {"vm", From}, {"reason", std::string("not_in_contact")}});
     auto Found = View->others().find(From);
     if (Found != View->others().end())
-      Ports.send(From, Found->second.Address, makeNotTaken(Job));
+      Ports.send(From, Found->second.Address, makeNotTakenAnswer(Job));
   }
 
   void offerConfiguration(const schema::vm_status &Status) {
@@ -451,7 +451,7 @@
     if (Found || !AsksForAll)
       Answer(Found);
     else
-      Cancels.ask(Request.job(), Contacts.coordinatingVms(), Options.CancelTimeout, Answer);
+      Cancels.sendCancel(Request.job(), Contacts.coordinatingVms(), Options.CancelTimeout, Answer);
   }
 
   // Contact with other VMs.
@@ -490,7 +490,7 @@
     schema::resume_session Session;
     Session.set_session(++Sessions[Vm]);
     Session.set_answer(Answer);
-    Relay->resume(Vm, Session);
+    Relay->onVmResumed(Vm, Session);
     Jobs->onVmResumed(Vm, std::move(Session));
   }
 
--- a/src/yuccaplank/dispatch/job_coordinator.cpp
+++ b/src/yuccaplank/dispatch/job_coordinator.cpp
@@ -97,7 +97,7 @@
   }
   [[nodiscard]] std::size_t size() const override { return Jobs.size(); }
 
-  [[nodiscard]] std::map<std::string, std::uint32_t> waiting() const override {
+  [[nodiscard]] std::map<std::string, std::uint32_t> queueLengths() const override {
     std::map<std::string, std::uint32_t> Result;
     for (const auto &[Id, Job] : Jobs)
       if (Job.OrderedRuns == 0)
@@ -106,7 +106,7 @@
   }
 
   void onGrant(const std::string &Placer, const schema::grant &Grant) override {
-    run_key Run = keyOf(Grant.task());
+    run_key Run = toRunKey(Grant.task());
     coordinated_job *Job = jobOf(Run);
     task_state *Task = Job ? taskOf(*Job, Run) : nullptr;
     if (!Task || Task->Phase != task_phase::Waiting || !Ports.reachable(Grant.owner())) {
@@ -141,7 +141,7 @@
   }
 
   void onEvent(const std::string &Owner, const schema::task_event &Event) override {
-    run_key Run = keyOf(Event.task());
+    run_key Run = toRunKey(Event.task());
     coordinated_job *Job = jobOf(Run);
     task_state *Task = Job ? taskOf(*Job, Run) : nullptr;
     // An earlier submission of the job may have used the run's number on another server.
@@ -153,10 +153,10 @@
   void onAdopt(const std::string &Owner, const schema::adopt_request &Request) override {
     std::map<run_key, const schema::task_event *> Ended;
     for (const schema::task_event &Event : Request.ended())
-      Ended.emplace(keyOf(Event.task()), &Event);
+      Ended.emplace(toRunKey(Event.task()), &Event);
     std::set<run_key> Running;
     for (const schema::task_run &Run : Request.running())
-      Running.insert(keyOf(Run));
+      Running.insert(toRunKey(Run));
     schema::dispatch_message Message;
     schema::adopt_reply &Reply = *Message.mutable_adopted();
     Reply.set_server(Request.server());
@@ -180,7 +180,7 @@
 
   void onYield(const std::string &Owner, const schema::yield_server &Yield) override {
     if (Yield.has_run()) {
-      run_key Run = keyOf(Yield.run());
+      run_key Run = toRunKey(Yield.run());
       orphan([&](const task_state &Task) { return Task.Owner == Owner && Task.Server == Yield.server(); },
              Run);
       return;
--- a/src/yuccaplank/dispatch/job_relay.cpp
+++ b/src/yuccaplank/dispatch/job_relay.cpp
@@ -117,7 +117,7 @@
         orphan(Job);
   }
 
-  void resume(const std::string &Vm, schema::resume_session &Resume) override {
+  void onVmResumed(const std::string &Vm, schema::resume_session &Resume) override {
     for (auto &[Id, Job] : Jobs) {
       bool Held = Job.Phase == relay_phase::Passed || Job.Phase == relay_phase::Orphaned;
       if (!Held || Job.Dispatcher != Vm)
--- a/src/yuccaplank/dispatch/job_relay.hpp
+++ b/src/yuccaplank/dispatch/job_relay.hpp
@@ -30,7 +30,7 @@
   virtual void onDispatcherFound() = 0;
   virtual void onVmLost(const std::string &Vm) = 0;
   /// A session with the VM begins: adds the jobs that it should hold.
-  virtual void resume(const std::string &Vm, schema::resume_session &Resume) = 0;
+  virtual void onVmResumed(const std::string &Vm, schema::resume_session &Resume) = 0;
   /// VMs that hold jobs of this one.
   [[nodiscard]] virtual std::set<std::string> dispatchers() const = 0;
 };
--- a/src/yuccaplank/dispatch/job_relay_test.cpp
+++ b/src/yuccaplank/dispatch/job_relay_test.cpp
@@ -87,12 +87,12 @@
   }
   if (auto When = section("when contact is back before, the job stays where it is")) {
     schema::resume_session Resume;
-    Vm.Relay->resume("d1", Resume);
+    Vm.Relay->onVmResumed("d1", Resume);
     CPPUNIT_ASSERT_EQUAL(1, Resume.relayed_size());
     Vm.Executor->advance(milliseconds(500));
     CPPUNIT_ASSERT(Vm.passedTo() == names{"d1"});
     if (auto Then = section("unless that VM has given it up, which is no proof that its runs have ended")) {
-      Vm.Relay->onAnswer("d1", makeNotHeld(Job).relayed());
+      Vm.Relay->onAnswer("d1", makeNotHeldAnswer(Job).relayed());
       Vm.Executor->advance(milliseconds(1299));
       CPPUNIT_ASSERT(Vm.passedTo() == names{"d1"});
       Vm.Executor->advance(milliseconds(1));
@@ -106,7 +106,9 @@
 const test_case Declined("job relay: the dispatching VM does not take the job", [] {
   vm Vm;
   Vm.submit();
-  auto Decline = [&Vm] { Vm.Relay->onAnswer("d1", makeNotTaken(Vm.Sent.back().second.relay()).relayed()); };
+  auto Decline = [&Vm] {
+    Vm.Relay->onAnswer("d1", makeNotTakenAnswer(Vm.Sent.back().second.relay()).relayed());
+  };
   if (auto When = section("another one has it soon")) {
     Decline();
     Vm.Dispatcher = "d2";
@@ -131,7 +133,7 @@
   if (auto When = section("what concerns an earlier session is ignored")) {
     auto Earlier = Vm.Sent.back().second.relay();
     Earlier.set_session(9);
-    Vm.Relay->onAnswer("d1", makeNotTaken(Earlier).relayed());
+    Vm.Relay->onAnswer("d1", makeNotTakenAnswer(Earlier).relayed());
     Vm.Executor->advance(milliseconds(100));
     CPPUNIT_ASSERT(Vm.passedTo() == names{"d1"});
   }
--- a/src/yuccaplank/dispatch/job_waiters.cpp
+++ b/src/yuccaplank/dispatch/job_waiters.cpp
@@ -33,7 +33,7 @@
   return true;
 }
 
-void job_waiters::onRelayed(const std::string &Vm, const schema::relay_job &Message) {
+void job_waiters::onRelayJob(const std::string &Vm, const schema::relay_job &Message) {
   auto Session = Sessions.find(Vm);
   if (Session != Sessions.end() && Message.session() < Session->second)
     return;
@@ -45,7 +45,7 @@
   Jobs.submit(queueOf(Message), requestOf(Message));
 }
 
-void job_waiters::onWithdrawn(const std::string &Vm, const schema::withdraw_relayed &Message) {
+void job_waiters::onWithdrawRelayed(const std::string &Vm, const schema::withdraw_relayed &Message) {
   drop(Message.job(), Vm, reasonOf(Message.reason()));
 }
 
@@ -64,7 +64,7 @@
     drop(Job, Vm, end_reason::CallerLeft);
   for (std::uint64_t Job : Counted)
     if (!Held.contains(Job) && !repeatAnswer(Vm, Job, [](job_outcome) { return true; }))
-      Send(Vm, makeNotHeld(Job));
+      Send(Vm, makeNotHeldAnswer(Job));
 }
 
 void job_waiters::onVmLost(const std::string &Vm) {
--- a/src/yuccaplank/dispatch/job_waiters.hpp
+++ b/src/yuccaplank/dispatch/job_waiters.hpp
@@ -26,8 +26,8 @@
   /// No own caller waits any more; false when none did. The job ends unless others wait for it.
   bool leave(std::uint64_t Job, end_reason Reason);
 
-  void onRelayed(const std::string &Vm, const schema::relay_job &Message);
-  void onWithdrawn(const std::string &Vm, const schema::withdraw_relayed &Message);
+  void onRelayJob(const std::string &Vm, const schema::relay_job &Message);
+  void onWithdrawRelayed(const std::string &Vm, const schema::withdraw_relayed &Message);
   /// A session with a relaying VM begins; jobs that it no longer counts on end.
   void onResume(const std::string &Vm, const schema::resume_session &Session);
   void onVmLost(const std::string &Vm);
--- a/src/yuccaplank/dispatch/job_waiters_test.cpp
+++ b/src/yuccaplank/dispatch/job_waiters_test.cpp
@@ -41,7 +41,7 @@
     return Request;
   }
   void relay(const std::string &Vm, std::uint32_t Session = 1) {
-    Waiters.onRelayed(Vm, makeRelayJob({}, request(), Session).relay());
+    Waiters.onRelayJob(Vm, makeRelayJob({}, request(), Session).relay());
   }
   void resume(const std::string &Vm, std::uint32_t Session, const std::vector<std::uint64_t> &Counted) {
     schema::resume_session Resume;
@@ -79,7 +79,7 @@
   if (auto When = section("when one leaves, the job goes on; when both do, it ends")) {
     CPPUNIT_ASSERT(Vm.Waiters.leave(Job, end_reason::CallerLeft));
     CPPUNIT_ASSERT(Vm.Jobs->contains(Job));
-    Vm.Waiters.onWithdrawn("r1", makeWithdrawal(Job, end_reason::CallerLeft).withdraw_relayed());
+    Vm.Waiters.onWithdrawRelayed("r1", makeWithdrawal(Job, end_reason::CallerLeft).withdraw_relayed());
     CPPUNIT_ASSERT(!Vm.Jobs->contains(Job));
   }
 });
--- a/src/yuccaplank/dispatch/placement_queue.cpp
+++ b/src/yuccaplank/dispatch/placement_queue.cpp
@@ -60,7 +60,7 @@
   placement_queue_impl(const runtime::clock &Clock, send_function Send, placement_options Options)
       : Clock(Clock), Send(std::move(Send)), Options(Options) {}
 
-  void place(const std::string &Coordinator, const schema::place_job &Request) override {
+  void enqueue(const std::string &Coordinator, const schema::place_job &Request) override {
     time_point Now = Clock.now();
     auto [Entry, IsNew] = Jobs.try_emplace({Coordinator, Request.job()});
     waiting_job &Job = Entry->second;
--- a/src/yuccaplank/dispatch/placement_queue_test.cpp
+++ b/src/yuccaplank/dispatch/placement_queue_test.cpp
@@ -62,7 +62,7 @@
     return Job;
   }
 
-  void place(const schema::place_job &Job) const { Queue->place("coordinator", Job); }
+  void place(const schema::place_job &Job) const { Queue->enqueue("coordinator", Job); }
   [[nodiscard]] std::vector<std::uint64_t> grantedJobs() const {
     std::vector<std::uint64_t> Jobs;
     for (const schema::grant &Grant : Grants)
--- a/src/yuccaplank/dispatch/relay_messages.cpp
+++ b/src/yuccaplank/dispatch/relay_messages.cpp
@@ -60,14 +60,14 @@
   return Message;
 }
 
-schema::dispatch_message makeNotHeld(std::uint64_t Job) {
+schema::dispatch_message makeNotHeldAnswer(std::uint64_t Job) {
   schema::dispatch_message Message;
   Message.mutable_relayed()->set_job(Job);
   Message.mutable_relayed()->set_end(schema::RELAYED_NOT_HELD);
   return Message;
 }
 
-schema::dispatch_message makeNotTaken(const schema::relay_job &Message) {
+schema::dispatch_message makeNotTakenAnswer(const schema::relay_job &Message) {
   schema::dispatch_message Answer;
   schema::relayed_answer &Relayed = *Answer.mutable_relayed();
   Relayed.set_job(Message.job());
--- a/src/yuccaplank/dispatch/relay_messages.hpp
+++ b/src/yuccaplank/dispatch/relay_messages.hpp
@@ -17,9 +17,9 @@
 schema::dispatch_message makeRelayedAnswer(std::uint64_t Job, std::uint32_t Session,
                                            const job_answer &Answer);
 /// The VM that sends this does not hold the job.
-schema::dispatch_message makeNotHeld(std::uint64_t Job);
+schema::dispatch_message makeNotHeldAnswer(std::uint64_t Job);
 /// The job was not taken.
-schema::dispatch_message makeNotTaken(const schema::relay_job &Message);
+schema::dispatch_message makeNotTakenAnswer(const schema::relay_job &Message);
 /// Without the queue's name. An outcome or a reason that is not known counts as timed out, which claims
 /// least.
 job_answer answerOf(const schema::relayed_answer &Message);
--- a/src/yuccaplank/dispatch/server_ledger.cpp
+++ b/src/yuccaplank/dispatch/server_ledger.cpp
@@ -104,7 +104,7 @@
   [[nodiscard]] bool finished() const override { return Delisted && Runs.empty(); }
 
   void start(const std::string &Coordinator, const schema::start_task &Request) override {
-    run_key Run = keyOf(Request.task());
+    run_key Run = toRunKey(Request.task());
     if (fenceMayBeLost())
       requestRunList();
     if (const char *Refusal = refusalOf(Request)) {
@@ -141,7 +141,7 @@
     if (Ownership != ownership::Adopting)
       return;
     for (const schema::adopted_run &Adopted : Reply.runs()) {
-      server_run *Found = Runs.find(keyOf(Adopted.task()));
+      server_run *Found = Runs.find(toRunKey(Adopted.task()));
       if (!Found || !Found->Unclaimed)
         continue;
       server_run &Run = *Found;
@@ -172,7 +172,7 @@
   void resume(const std::string &Coordinator, const schema::resume_session &Session) override {
     std::set<run_key> Counted;
     for (const schema::counted_run &Run : Session.runs())
-      Counted.insert(keyOf(Run.task()));
+      Counted.insert(toRunKey(Run.task()));
     for (auto &[Run, State] : Runs) {
       bool IsCounted = Counted.contains(Run);
       // The end of a run that was found at a take-over is told to the coordinator that asks for it late.
@@ -243,7 +243,7 @@
       return "no_room";
     if (Health.onProbation() && !Runs.empty())
       return "on_probation";
-    return Runs.containsTask(keyOf(Request.task()).Task) ? "task_already_here" : nullptr;
+    return Runs.containsTask(toRunKey(Request.task()).Task) ? "task_already_here" : nullptr;
   }
 
   void refuse(const std::string &Coordinator, const run_key &Run, std::string_view Reason) {
--- a/src/yuccaplank/dispatch/server_owner.cpp
+++ b/src/yuccaplank/dispatch/server_owner.cpp
@@ -68,7 +68,7 @@
   void onStop(const std::string &Coordinator, const schema::stop_task &Request) override {
     auto Found = Servers.find(Request.server());
     if (Found != Servers.end())
-      Found->second.Ledger->stop(Coordinator, keyOf(Request.task()));
+      Found->second.Ledger->stop(Coordinator, toRunKey(Request.task()));
   }
 
   void onSubscribe(const std::string &Placer, const schema::subscribe_servers &Request) override {
@@ -213,19 +213,20 @@
   }
 
   void refuse(const std::string &Coordinator, const schema::start_task &Request) {
-    Ports.send(Coordinator, makeEvent(keyOf(Request.task()), schema::RUN_NOT_STARTED, Request.server(),
+    Ports.send(Coordinator, makeEvent(toRunKey(Request.task()), schema::RUN_NOT_STARTED, Request.server(),
                                       "server_not_owned"));
   }
 
   void answerCountedRun(const std::string &Coordinator, const schema::counted_run &Counted) {
-    run_key Run = keyOf(Counted.task());
+    run_key Run = toRunKey(Counted.task());
     auto Found = Servers.find(Counted.server());
     server_ledger *Ledger = Found == Servers.end() ? nullptr : Found->second.Ledger.get();
     if (Ledger && (Ledger->holds(Run) || Ledger->resendAdoption(Coordinator)))
       return;
     schema::dispatch_message Message;
-    auto Ended = std::ranges::find_if(
-        Ends, [&](const auto &End) { return keyOf(End.task()) == Run && End.server() == Counted.server(); });
+    auto Ended = std::ranges::find_if(Ends, [&](const auto &End) {
+      return toRunKey(End.task()) == Run && End.server() == Counted.server();
+    });
     if (Ended != Ends.end()) {
       *Message.mutable_event() = *Ended;
     } else if (Ledger && Ledger->owned()) {
--- a/src/yuccaplank/entry/frontend.cpp
+++ b/src/yuccaplank/entry/frontend.cpp
@@ -110,7 +110,7 @@
     }
     std::string_view Host = Request.Host;
     Host = Host.substr(0, Host.find(':'));
-    const queue_settings *Queue = Configuration->find(Host, Request.Path);
+    const queue_settings *Queue = Configuration->findQueue(Host, Request.Path);
     if (!Queue) {
       refuse(Request, 404, "unknown_queue");
       return;
--- a/src/yuccaplank/platform/fuzz/decoders.cpp
+++ b/src/yuccaplank/platform/fuzz/decoders.cpp
@@ -39,7 +39,7 @@
 
 bool keepsQueueRules(const dispatch::configuration &Configuration) {
   return std::ranges::all_of(Configuration.Queues, [&](const dispatch::queue_settings &Queue) {
-    return Configuration.find(Queue.Host, Queue.PathPrefix) != nullptr;
+    return Configuration.findQueue(Queue.Host, Queue.PathPrefix) != nullptr;
   });
 }
 
--- a/src/yuccaplank/scenario/world.cpp
+++ b/src/yuccaplank/scenario/world.cpp
@@ -101,8 +101,9 @@
   std::string Queue = Record.Queue;
   Submissions.push_back(std::move(Record));
   if (Life.Executor.alive())
-    Life.Executor.guard(
-        [&Life, Queue, Request] { Life.Vm->jobs().submit(*Life.Vm->current()->find("", Queue), Request); })();
+    Life.Executor.guard([&Life, Queue, Request] {
+      Life.Vm->jobs().submit(*Life.Vm->current()->findQueue("", Queue), Request);
+    })();
   return Submissions.size() - 1;
 }
 
--- a/src/yuccaplank/simulation/fleet_simulation.cpp
+++ b/src/yuccaplank/simulation/fleet_simulation.cpp
@@ -256,7 +256,7 @@
         if (Submitted.Attempt != Attempt || !Submitted.CallerWaits)
           return;
         const std::string Queue = Submitted.Kind ? Submitted.Kind->Queue : QueueName;
-        Life->Vm->jobs().submit(*Life->Vm->current()->find("", Queue), Submitted.Request);
+        Life->Vm->jobs().submit(*Life->Vm->current()->findQueue("", Queue), Submitted.Request);
       })();
     });
   }
