--- a/include/yuccaplank/dispatch/job_coordinator.hpp
+++ b/include/yuccaplank/dispatch/job_coordinator.hpp
@@ -1,4 +1,4 @@
-// The coordinator role: takes the jobs of this VM's callers, and those that other VMs relay to it, from
+// The coordinator role: handles the jobs of this VM's callers, and those that other VMs relay to it, from
 // submission to answer.
 #pragma once
 
@@ -58,7 +58,7 @@
 
 class job_coordinator : public job_service {
 public:
-  /// Number of jobs of which no task has been started, by the name of their queue.
+  /// Number of jobs without a started task, by the name of their queue.
   [[nodiscard]] virtual std::map<std::string, std::uint32_t> queueLengths() const = 0;
 
   virtual void onGrant(const std::string &Placer, const schema::grant &Grant) = 0;
--- a/src/yuccaplank/dispatch/job_relay_test.cpp
+++ b/src/yuccaplank/dispatch/job_relay_test.cpp
@@ -119,7 +119,7 @@
     CPPUNIT_ASSERT(Vm.dispatchersRelayedTo() == names{"d1"});
     Vm.Executor->advance(milliseconds(1));
     CPPUNIT_ASSERT((Vm.dispatchersRelayedTo() == names{"d1", "d2"}));
-    if (auto Then = section("and its refusal is passed on, since nothing has run")) {
+    if (auto Then = section("and its refusal is the caller's answer, since nothing has run")) {
       Vm.answerFrom("d2", job_outcome::Refused);
       CPPUNIT_ASSERT(Vm.Answers.at(0).Outcome == job_outcome::Refused);
     }
--- a/src/yuccaplank/dispatch/relay_messages.cpp
+++ b/src/yuccaplank/dispatch/relay_messages.cpp
@@ -77,9 +77,10 @@
 }
 
 job_answer toJobAnswer(const schema::relayed_answer &Message) {
-  bool Known = Message.end() >= schema::RELAYED_COMPLETED && Message.end() <= schema::RELAYED_CANCELLED;
+  bool IsKnownOutcome =
+      Message.end() >= schema::RELAYED_COMPLETED && Message.end() <= schema::RELAYED_CANCELLED;
   job_answer Answer;
-  Answer.Outcome = Known ? static_cast<job_outcome>(Message.end()) : job_outcome::TimedOut;
+  Answer.Outcome = IsKnownOutcome ? static_cast<job_outcome>(Message.end()) : job_outcome::TimedOut;
   Answer.Reason = decodeEndReason(Message.reason());
   Answer.RetryAfterMs = Message.retry_after_ms();
   Answer.WithinObjective = Message.within_objective();
