--- a/src/yuccaplank/platform/documents_test.cpp
+++ b/src/yuccaplank/platform/documents_test.cpp
@@ -56,9 +56,9 @@
       "service":"s","priority":2,"max_attempts":3,"stretch":1.6,"target_latency_ms":60},
       {"name":"q","host":"h","path_prefix":"/p/x/","service":"s"}],"services":[],"limits":{"max_body_bytes":10}})");
     CPPUNIT_ASSERT(Read.has_value());
-    CPPUNIT_ASSERT_EQUAL(std::string("r"), Read.value().find("h", "/p/0")->Name);
-    CPPUNIT_ASSERT_EQUAL(std::string("q"), Read.value().find("h", "/p/x/0")->Name);
-    CPPUNIT_ASSERT(Read.value().find("other", "/p/0") == nullptr);
+    CPPUNIT_ASSERT_EQUAL(std::string("r"), Read.value().findQueue("h", "/p/0")->Name);
+    CPPUNIT_ASSERT_EQUAL(std::string("q"), Read.value().findQueue("h", "/p/x/0")->Name);
+    CPPUNIT_ASSERT(Read.value().findQueue("other", "/p/0") == nullptr);
     CPPUNIT_ASSERT_EQUAL(std::size_t{10}, Read.value().Limits.MaxBodyBytes);
   }
   if (auto When = section("given one that cannot be read, none is in force")) {
