--- a/src/yuccaplank/dispatch/job_coordinator.cpp
+++ b/src/yuccaplank/dispatch/job_coordinator.cpp
@@ -36,6 +36,7 @@
 
 struct task_state {
   task_phase Phase = task_phase::Waiting;
+  // Number of the current run.
   std::uint32_t Run = 1;
   std::uint32_t Failures = 0;
   std::string Owner;
@@ -50,6 +51,7 @@
   job_request Request;
   queue_settings Queue;
   time_point SubmittedAt;
+  // Time after submission within which the job should be completed.
   duration Objective{};
   std::vector<task_state> Tasks;
   std::uint32_t DoneTasks = 0;
@@ -472,6 +474,7 @@
                     false});
   }
 
+  // Ends the job and delivers its answer. Queue and WithinObjective of the answer are filled in here.
   void finishJob(coordinated_job &Job, job_answer Answer) {
     std::uint64_t Id = Job.Request.Job;
     Answer.Queue = Job.Queue.Name;
@@ -485,6 +488,8 @@
     Ports.answer(Id, Answer);
   }
 
+  // Sends stop orders for the runs whose owners are in contact and withdraws the waiting tasks from the
+  // placer.
   void stopRemainingTasks(const coordinated_job &Job) {
     bool Waiting = false;
     for (std::uint32_t Index = 0; Index < Job.Tasks.size(); ++Index) {
