--- a/src/yuccaplank/dispatch/entry_vm.cpp
+++ b/src/yuccaplank/dispatch/entry_vm.cpp
@@ -148,7 +148,7 @@
       return;
     }
     if (!Contacts.isRelay()) {
-      Cancels.ask(Job, Contacts.coordinatingVms(), Options.CancelTimeout, std::move(OnDone));
+      Cancels.sendCancel(Job, Contacts.coordinatingVms(), Options.CancelTimeout, std::move(OnDone));
       return;
     }
     // The dispatching VM forwards the request to the others.
@@ -156,7 +156,7 @@
     std::vector<std::string> Recipients;
     if (!Dispatcher.empty())
       Recipients.push_back(Dispatcher);
-    Cancels.ask(Job, Recipients, 2 * Options.CancelTimeout, std::move(OnDone));
+    Cancels.sendCancel(Job, Recipients, 2 * Options.CancelTimeout, std::move(OnDone));
   }
 
   [[nodiscard]] std::uint32_t waitingJobs(const std::string &QueueName) const override {
@@ -214,7 +214,7 @@
     }
     for (const schema::server_state &State : Owner->states())
       *Report.add_servers() = makeServerReport(State, Options.Vm);
-    fillQueues(Jobs->waiting(), *Report.mutable_queues());
+    fillQueues(Jobs->queueLengths(), *Report.mutable_queues());
     return Report;
   }
 
@@ -258,7 +258,7 @@
   void sendTo(const std::string &Vm, const std::string &Address, schema::dispatch_message Message) override {
     Ports.send(Vm, Address, std::move(Message));
   }
-  [[nodiscard]] queue_lengths localQueueLengths() const override { return Jobs->waiting(); }
+  [[nodiscard]] queue_lengths localQueueLengths() const override { return Jobs->queueLengths(); }
   [[nodiscard]] std::set<std::string> jobCoordinators() const override { return Relay->dispatchers(); }
   [[nodiscard]] std::string placer() const override { return Placer; }
   [[nodiscard]] bool reachable(const std::string &Vm) const override { return View->inContact(Vm); }
@@ -318,7 +318,7 @@
       break;
     case schema::dispatch_message::kPlace:
       setPlacing(true);
-      Queue->place(From, Message.place());
+      Queue->enqueue(From, Message.place());
       scheduleSoon();
       break;
     case schema::dispatch_message::kWithdraw:
@@ -383,7 +383,7 @@
     case schema::dispatch_message::kRelay:
       // A VM that lost contact assumes that this VM has given up its relayed jobs.
       if (View->inContact(From))
-        Waiters.onRelayed(From, Message.relay());
+        Waiters.onRelayJob(From, Message.relay());
       else
         declineRelayed(From, Message.relay());
       break;
@@ -391,7 +391,7 @@
       Relay->onAnswer(From, Message.relayed());
       break;
     case schema::dispatch_message::kWithdrawRelayed:
-      Waiters.onWithdrawn(From, Message.withdraw_relayed());
+      Waiters.onWithdrawRelayed(From, Message.withdraw_relayed());
       break;
     case schema::dispatch_message::BODY_NOT_SET:
       break;
@@ -417,7 +417,7 @@
         {{"job", formatJob(Job.job())}, {"vm", From}, {"reason", std::string("not_in_contact")}});
     auto Found = View->others().find(From);
     if (Found != View->others().end())
-      Ports.send(From, Found->second.Address, makeNotTaken(Job));
+      Ports.send(From, Found->second.Address, makeNotTakenAnswer(Job));
   }
 
   void offerConfiguration(const schema::vm_status &Status) {
@@ -456,7 +456,7 @@
     if (Found || !FromRelay)
       Reply(Found);
     else
-      Cancels.ask(Request.job(), Contacts.coordinatingVms(), Options.CancelTimeout, Reply);
+      Cancels.sendCancel(Request.job(), Contacts.coordinatingVms(), Options.CancelTimeout, Reply);
   }
 
   // Contact with other VMs.
@@ -495,7 +495,7 @@
     schema::resume_session Session;
     Session.set_session(++Sessions[Vm]);
     Session.set_answer(Answer);
-    Relay->resume(Vm, Session);
+    Relay->onVmResumed(Vm, Session);
     Jobs->onVmResumed(Vm, std::move(Session));
   }
 
--- a/src/yuccaplank/dispatch/server_owner.cpp
+++ b/src/yuccaplank/dispatch/server_owner.cpp
@@ -68,7 +68,7 @@
   void onStop(const std::string &Coordinator, const schema::stop_task &Request) override {
     auto Found = Servers.find(Request.server());
     if (Found != Servers.end())
-      Found->second.Ledger->stop(Coordinator, keyOf(Request.task()));
+      Found->second.Ledger->stop(Coordinator, toRunKey(Request.task()));
   }
 
   void onSubscribe(const std::string &Placer, const schema::subscribe_servers &Request) override {
@@ -214,19 +214,19 @@
   }
 
   void refuse(const std::string &Coordinator, const schema::start_task &Request) {
-    Ports.send(Coordinator, makeTaskEvent(keyOf(Request.task()), schema::RUN_NOT_STARTED, Request.server(),
+    Ports.send(Coordinator, makeTaskEvent(toRunKey(Request.task()), schema::RUN_NOT_STARTED, Request.server(),
                                           "server_not_owned"));
   }
 
   void answerExpectedRun(const std::string &Coordinator, const schema::counted_run &ExpectedRun) {
-    run_key Run = keyOf(ExpectedRun.task());
+    run_key Run = toRunKey(ExpectedRun.task());
     auto Found = Servers.find(ExpectedRun.server());
     server_ledger *Ledger = Found == Servers.end() ? nullptr : Found->second.Ledger.get();
     if (Ledger && (Ledger->containsRun(Run) || Ledger->resendAdoption(Coordinator)))
       return;
     schema::dispatch_message Message;
     auto Ended = std::ranges::find_if(RecentEnds, [&](const auto &End) {
-      return keyOf(End.task()) == Run && End.server() == ExpectedRun.server();
+      return toRunKey(End.task()) == Run && End.server() == ExpectedRun.server();
     });
     if (Ended != RecentEnds.end()) {
       *Message.mutable_event() = *Ended;
--- a/src/yuccaplank/scenario/world.cpp
+++ b/src/yuccaplank/scenario/world.cpp
@@ -102,7 +102,7 @@
   Submissions.push_back(std::move(Record));
   if (Life.Executor.alive())
     Life.Executor.guard([&Life, Queue, Request] {
-      Life.Vm->jobs().submit(*Life.Vm->currentConfiguration()->find("", Queue), Request);
+      Life.Vm->jobs().submit(*Life.Vm->currentConfiguration()->findQueue("", Queue), Request);
     })();
   return Submissions.size() - 1;
 }
