--- a/scenarios/backend_servers.lua
+++ b/scenarios/backend_servers.lua
@@ -1,6 +1,7 @@
--- Promise: a server that crashes, hangs, fails or turns slow costs no job that could be served elsewhere.
+-- Guarantee: a server that crashes, hangs, fails or becomes slow costs no job that another server could run.
 
-scenario("a server crashes: its runs are placed elsewhere", function()
+-- Guards against jobs that wait for runs which ended with a crashed server.
+scenario("when servers crash, their runs are placed on other servers", function()
   world{}
   local job = submit("vm0", {tasks = 8, ms = 700, cores = 30})
   run(200)
@@ -12,7 +13,8 @@
   check_promises()
 end)
 
-scenario("a server that is cut off and works on is not replaced before its lease has ended", function()
+-- Guards against two runs of a task: a server that is cut off keeps running its tasks until its lease ends.
+scenario("runs of a server that is cut off are placed elsewhere only after its lease has ended", function()
   world{servers = 2}
   local job = submit("vm0", {tasks = 4, ms = 2500, cores = 30})
   run(300)
@@ -22,7 +24,8 @@
   check_promises()
 end)
 
-scenario("a server that starts again forgets its runs", function()
+-- Guards against jobs that wait for runs which a server lost by restarting within its lease.
+scenario("runs that a restarted server has lost are placed again", function()
   world{servers = 2}
   local job = submit("vm0", {tasks = 4, ms = 1500, cores = 30})
   run(300)
@@ -34,8 +37,9 @@
   check_promises()
 end)
 
+-- Guards against jobs that fail because each of their attempts is placed on the same failing server.
 scenario("a server that fails every task does not use up a job's attempts", function()
-  given("one bad server among four")
+  given("four servers, one of which fails every task")
   world{servers = 4}
   server("s0", "failing")
   local failed = 0
@@ -50,6 +54,7 @@
   check_promises()
 end)
 
+-- Guards against jobs that wait for tasks which hang on a server that still answers.
 scenario("a task on a server that hangs is stopped and run elsewhere", function()
   world{servers = 4}
   server("s0", "hanging")
@@ -60,8 +65,9 @@
   check_promises()
 end)
 
-scenario("a slow server gets work only when no other has room", function()
-  given("a server that has shown to be slow")
+-- Guards against late jobs: after ten jobs, the placement has to know which server is slow.
+scenario("a slow server gets work only when no other server has free capacity", function()
+  given("a server that earlier jobs have shown to be slow")
   world{servers = 4}
   server("s3", "slow")
   for number = 1, 10 do
@@ -75,7 +81,8 @@
   check_promises()
 end)
 
-scenario("all servers are away: jobs are refused or end at their deadline, and service returns with the servers", function()
+-- Guards against jobs without an answer, and against a fleet that does not find its servers after an outage.
+scenario("jobs are refused while all servers are down, and completed once the servers are back", function()
   world{servers = 2}
   server("s0", "crashed")
   server("s1", "crashed")
--- a/scenarios/configuration.lua
+++ b/scenarios/configuration.lua
@@ -1,6 +1,7 @@
--- Promise: no VM goes back to an older configuration, and one that cannot read the store learns of the newest.
+-- Guarantee: no VM returns to an older configuration, and a VM that cannot read the store receives the newest one.
 
-scenario("a configuration travels to VMs that do not read it themselves", function()
+-- Guards against VMs that keep an old configuration because they cannot read the store.
+scenario("a VM that has read a new configuration passes it on to the others", function()
   world{}
   configure("vm0", 7)
   run(500)
@@ -9,6 +10,7 @@
   end
 end)
 
+-- Guards against a VM that reads an outdated copy of the store and takes the fleet back to it.
 scenario("an older configuration does not replace a newer one", function()
   world{}
   configure("vm0", 7)
@@ -20,7 +22,8 @@
   end
 end)
 
-scenario("a VM that starts with an old configuration gets the newest from the others", function()
+-- Guards against a restarted VM that keeps the configuration which it read at its start.
+scenario("a VM that starts with an old configuration receives the newest one from the others", function()
   world{}
   configure("vm0", 9)
   run(500)
@@ -31,7 +34,8 @@
   check_equal(version("vm3"), 9)
 end)
 
-scenario("jobs in hand are not touched by a new configuration", function()
+-- Guards against jobs that are ended or started again when the configuration changes.
+scenario("a new configuration does not affect jobs that are running", function()
   world{}
   local job = submit("vm1", {tasks = 3, ms = 800})
   run(200)
@@ -42,7 +46,8 @@
   check_promises()
 end)
 
-scenario("the sides of a partition agree on the newest configuration afterwards", function()
+-- Guards against configurations that differ for good after each side of a partition has read one of its own.
+scenario("after a partition, both sides use the newer of their configurations", function()
   world{}
   cut("d1")
   run(1500)
--- a/scenarios/jobs.lua
+++ b/scenarios/jobs.lua
@@ -1,5 +1,6 @@
--- Promise: every job gets one whole answer or a clear failure, and what was refused has not run.
+-- Guarantee: every job gets one complete answer or a clear failure, and a refused job has not run.
 
+-- Guards against early answers and against tasks that are started twice.
 scenario("a job is answered when all its tasks have ended", function()
   given("four VMs and eight servers")
   world{}
@@ -10,6 +11,7 @@
   check_promises()
 end)
 
+-- Guards against jobs that wait because their VM uses its own servers only.
 scenario("jobs of all VMs share all servers", function()
   world{}
   local jobs = {}
@@ -24,7 +26,8 @@
   check_promises()
 end)
 
-scenario("what fits on no server is refused at once, and has not run", function()
+-- Guards against jobs that wait until their deadline for a server that does not exist.
+scenario("a job whose tasks fit on no server is refused at once and does not run", function()
   world{}
   local job = submit("vm1", {cores = 200})
   run(100)
@@ -34,12 +37,13 @@
   check_promises()
 end)
 
-scenario("a job that cannot be served in time is refused, and told when to come back", function()
+-- Guards against callers that wait for a job which cannot start before its deadline.
+scenario("a job that cannot be served in time is refused with a time to retry after", function()
   given("servers full of long tasks")
   world{servers = 2}
   local long = submit("vm0", {tasks = 6, ms = 4000, cores = 30})
   run(300)
-  when("a short job comes")
+  when("a short job is submitted")
   local short = submit("vm1", {ms = 50, cores = 30, deadline_ms = 2000})
   run(2000)
   check_equal(outcome(short), "refused")
@@ -51,7 +55,8 @@
   check_promises()
 end)
 
-scenario("the queue of higher priority goes first", function()
+-- Guards against urgent jobs that wait behind bulk jobs submitted earlier.
+scenario("jobs of the queue with the higher priority are placed first", function()
   given("one server and a waiting job of each priority")
   world{vms = 1, domains = 1, servers = 1}
   local first = submit("vm0", {tasks = 4, ms = 150, cores = 50})
@@ -65,12 +70,13 @@
   check_promises()
 end)
 
-scenario("a caller that leaves takes its job along", function()
+-- Guards against tasks that occupy servers although nobody waits for their result.
+scenario("a job ends when its caller leaves", function()
   world{}
   local job = submit("vm0", {tasks = 3, ms = 5000})
   run(200)
   check_equal(running(job), 3)
-  when("it leaves")
+  when("the caller leaves")
   leave(job)
   run(400)
   check_equal(running(job), 0)
@@ -79,7 +85,8 @@
   check_promises()
 end)
 
-scenario("a cancel reaches the job at whichever VM it is", function()
+-- Guards against cancels that only work at the VM to which the job was submitted.
+scenario("a cancel that another VM receives ends the job", function()
   world{}
   local job = submit("vm0", {tasks = 3, ms = 5000})
   run(200)
@@ -90,7 +97,8 @@
   check_promises()
 end)
 
-scenario("a job that runs past its deadline is ended, not left running", function()
+-- Guards against tasks that keep running after their job has timed out.
+scenario("a job that exceeds its deadline is answered and its tasks are stopped", function()
   world{}
   local job = submit("vm0", {tasks = 2, ms = 5000, deadline_ms = 1000})
   run(1300)
@@ -100,7 +108,8 @@
   check_promises()
 end)
 
-scenario("a job that is sent twice to one VM is one job", function()
+-- Guards against a second run of each task when a caller repeats its request.
+scenario("a job that is submitted twice to the same VM runs once", function()
   world{}
   local first = submit("vm0", {tasks = 2, ms = 300})
   local second = resubmit("vm0", first)
@@ -111,7 +120,8 @@
   check_promises()
 end)
 
-scenario("declared times that are far off cost no job", function()
+-- Guards against jobs that are refused or stopped because of a wrong estimate.
+scenario("jobs whose declared task times are far off are completed", function()
   world{}
   local short = submit("vm0", {tasks = 2, ms = 300, declared_ms = 150})
   local long = submit("vm1", {tasks = 2, ms = 300, declared_ms = 900})
--- a/scenarios/partitions.lua
+++ b/scenarios/partitions.lua
@@ -1,5 +1,6 @@
--- Promise: separated failure domains serve what they can, and no task runs twice at a time.
+-- Guarantee: separated failure domains serve the jobs that they can, and no task has two runs at a time.
 
+-- Guards against callers that get no service because their domain has lost the placer.
 scenario("both sides of a partition serve their callers with their own servers", function()
   given("two domains with two VMs each")
   world{}
@@ -16,7 +17,8 @@
   check_promises()
 end)
 
-scenario("after a partition there is one placer again and every server has one owner", function()
+-- Guards against two placers that persist, and servers that stay without an owner, once a partition has healed.
+scenario("after a partition, there is one placer and every server has an owner", function()
   world{}
   cut("d1")
   run(2000)
@@ -33,6 +35,7 @@
   check_promises()
 end)
 
+-- Guards against two runs of a task: the servers beyond the partition keep running it until their lease ends.
 scenario("runs on the other side of a partition end before they are placed again", function()
   given("a job on servers of both domains")
   world{servers = 4}
@@ -48,7 +51,8 @@
   check_promises()
 end)
 
-scenario("two VMs that do not see each other, while a third sees both, do not order a server in turn", function()
+-- Guards against a server that changes its owner all the time: each VM assumes that the other one is lost.
+scenario("two VMs that are cut off from each other, but not from a third, do not order a server in turn", function()
   world{vms = 3, domains = 1}
   cut_link("vm0", "vm1")
   cut_link("vm1", "vm0")
@@ -65,7 +69,8 @@
   check_promises()
 end)
 
-scenario("a link that passes one way only breaks no promise", function()
+-- Guards against two runs of a task when a VM receives messages from a VM that does not receive its own.
+scenario("a link that is cut in one direction causes no violation", function()
   world{vms = 3, domains = 1}
   local job = submit("vm1", {tasks = 4, ms = 1500})
   run(200)
@@ -77,7 +82,8 @@
   check_promises()
 end)
 
-scenario("connections that are reset cost no run", function()
+-- Guards against runs that are ended or repeated because a closed connection is taken for the loss of a VM.
+scenario("runs continue when connections are reset", function()
   world{}
   local job = submit("vm1", {tasks = 4, ms = 1200})
   run(200)
--- a/scenarios/relays.lua
+++ b/scenarios/relays.lua
@@ -1,7 +1,8 @@
--- Promise: callers of VMs that relay are served like others, whichever VM dies, and no task runs twice at a time.
+-- Guarantee: VMs that relay serve callers as other VMs do, whichever VM fails, and no task has two runs at a time.
 
 local fleet = {vms = 8, domains = 2, dispatchers = 1, servers = 8}
 
+-- Guards against answers and cancels that do not get from a relay to the dispatcher of the job, or back.
 scenario("a VM that relays answers its callers", function()
   given("a fleet in which one VM of each domain dispatches")
   world(fleet)
@@ -19,7 +20,8 @@
   check_promises()
 end)
 
-scenario("the dispatcher of a domain dies: its jobs go to another one when its runs have ended", function()
+-- Guards against relayed jobs that are lost with their dispatcher, and against two runs of their tasks.
+scenario("when a dispatcher fails, its relayed jobs go to another one after their runs have ended", function()
   world(fleet)
   local job = submit("vm7", {tasks = 2, ms = 1000})
   run(300)
@@ -30,14 +32,15 @@
   check_equal(running(job), 0)
   run(2500)
   check_equal(outcome(job), "completed")
-  and_then("new jobs of that domain are served by the other one")
+  and_then("the dispatcher of the other domain serves new jobs")
   local new = submit("vm5", {tasks = 2, ms = 200})
   run(600)
   check_equal(outcome(new), "completed")
   check_promises()
 end)
 
-scenario("a VM that relays dies: its jobs end before the caller comes back", function()
+-- Guards against two runs of a task: the dispatcher has to end the job within the time that a caller waits.
+scenario("when a relay fails, its jobs end before their callers submit them again", function()
   world(fleet)
   local job = submit("vm7", {tasks = 4, ms = 3000})
   run(300)
@@ -50,6 +53,7 @@
   check_promises()
 end)
 
+-- Guards against relays that depend on dispatchers of other domains.
 scenario("a failure domain that is cut off serves its callers through its own dispatcher", function()
   world(fleet)
   cut("d1")
@@ -62,16 +66,17 @@
   check_promises()
 end)
 
-scenario("a dispatcher that lags starts no job that was passed on elsewhere meanwhile", function()
-  given("the dispatcher of a domain, which reads what arrives two seconds late")
+-- Guards against two runs of a task: the lagging dispatcher reads the job after another one has received it.
+scenario("a lagging dispatcher does not start a job that has been passed on to another one meanwhile", function()
+  given("a dispatcher that reads arriving messages two seconds late")
   world(fleet)
   lag("vm1", 2000, 0)
   local job = submit("vm7", {tasks = 2, ms = 3000})
   run(2500)
-  and_then("the job runs on behalf of another one")
+  and_then("another dispatcher runs the job")
   check_equal(running(job), 2)
   check_equal(starts(job), 2)
-  when("it has caught up, it takes jobs again")
+  when("it no longer lags, it accepts jobs again")
   lag("vm1", 0, 0)
   run(6000)
   check_equal(outcome(job), "completed")
@@ -81,8 +86,9 @@
   check_promises()
 end)
 
-scenario("an owner that lags starts nothing for a coordinator that has given it up", function()
-  given("jobs of one VM on a server of another one, which reads what arrives late")
+-- Guards against two runs of a task: the lagging owner reads the start when the task has been placed elsewhere.
+scenario("a lagging owner does not carry out starts that their coordinator has given up", function()
+  given("jobs of one VM on a server whose owner reads arriving messages late")
   world{servers = 2, domains = 1, vms = 3}
   local victim = owner("s0")
   local caller = victim == "vm1" and "vm2" or "vm1"
--- a/scenarios/vm_failures.lua
+++ b/scenarios/vm_failures.lua
@@ -1,23 +1,25 @@
--- Promise: no task runs twice at a time and nothing is lost silently when entry VMs die, pause, leave or come back.
+-- Guarantee: no task has two runs at a time and no job is lost silently when VMs fail, pause, drain or restart.
 
-scenario("the coordinator of a job dies: its runs end before the caller comes back", function()
-  given("a job in hand")
+-- Guards against two runs of a task: the other VMs have to end the runs within the time that a caller waits.
+scenario("when the coordinator of a job fails, its runs end before the caller submits the job again", function()
+  given("a running job")
   world{}
   local job = submit("vm1", {tasks = 4, ms = 3000})
   run(300)
   check_equal(running(job), 4)
-  when("its VM is killed")
+  when("its coordinator is killed")
   kill("vm1")
   check_equal(outcome(job), "lost")
   run(1300)
   check_equal(running(job), 0)
-  and_then("the job is served when it is sent again")
+  and_then("the job completes when it is submitted again")
   local again = resubmit("vm2", job)
   run(6000)
   check_equal(outcome(again), "completed")
   check_promises()
 end)
 
+-- Guards against runs that outlive their coordinator because no closed connection reports its loss.
 scenario("a VM that vanishes without closing its connections is noticed within a second", function()
   world{}
   local job = submit("vm1", {tasks = 4, ms = 3000})
@@ -31,8 +33,9 @@
   check_promises()
 end)
 
-scenario("the owner of the servers dies: the runs go on", function()
-  given("a job of one VM on a server that another one owns")
+-- Guards against runs that are ended or repeated when another VM takes over the servers.
+scenario("when the owner of servers fails, their runs continue", function()
+  given("a job of one VM on servers that another VM owns")
   world{servers = 2, domains = 1, vms = 3}
   local victim = owner("s0")
   local caller = victim == "vm1" and "vm2" or "vm1"
@@ -50,7 +53,8 @@
   check_promises()
 end)
 
-scenario("the placer dies: waiting jobs are placed by the next one", function()
+-- Guards against waiting jobs that are forgotten together with the placer's queue.
+scenario("when the placer fails, the next one places the waiting jobs", function()
   world{servers = 2}
   local first = submit("vm1", {tasks = 4, ms = 500, cores = 30})
   run(50)
@@ -65,7 +69,8 @@
   check_promises()
 end)
 
-scenario("a VM that starts again at once is not taken for its predecessor", function()
+-- Guards against runs that are kept for a job which the new incarnation does not know.
+scenario("a VM that restarts at once is not mistaken for its former incarnation", function()
   world{}
   local job = submit("vm1", {tasks = 4, ms = 3000})
   run(300)
@@ -79,7 +84,8 @@
   check_promises()
 end)
 
-scenario("a pause shorter than the limit costs no job", function()
+-- Guards against runs that are ended or repeated because of a short pause.
+scenario("a pause shorter than the limit interrupts no job", function()
   world{}
   local job = submit("vm1", {tasks = 4, ms = 800})
   run(100)
@@ -92,27 +98,29 @@
   check_promises()
 end)
 
-scenario("a VM that was paused for seconds orders nothing on what it believed before", function()
-  given("a paused owner with a job in hand")
+-- Guards against two runs of a task: the paused VM still assumes that it owns servers and coordinates the job.
+scenario("a VM that was paused for seconds sends no orders based on its former state", function()
+  given("a paused VM that owns servers and coordinates a job")
   world{}
   local job = submit("vm0", {tasks = 4, ms = 3000})
   run(300)
   pause("vm0")
   run(2500)
   check_equal(running(job), 0)
-  and_then("the caller gives up and sends the job to another VM")
+  and_then("the caller leaves and submits the job to another VM")
   leave(job)
   local again = resubmit("vm1", job)
   run(300)
-  when("it goes on")
+  when("the paused VM resumes")
   resume("vm0")
   run(8000)
   check_equal(outcome(again), "completed")
   check_promises()
 end)
 
-scenario("all VMs lose power and start again", function()
-  given("jobs in hand everywhere")
+-- Guards against VMs that wait for each other after a start, and servers that stay fenced for their former owners.
+scenario("the fleet serves jobs again after all VMs have lost power", function()
+  given("a running job of each VM")
   world{}
   for number = 0, 3 do
     submit("vm" .. number, {tasks = 3, ms = 4000})
@@ -122,19 +130,20 @@
     kill("vm" .. number, true)
   end
   run(500)
-  when("they start with empty memories")
+  when("the VMs start without their former state")
   for number = 0, 3 do
     start("vm" .. number)
   end
   run(2000)
-  and_then("a job is served within two seconds of the start")
+  and_then("a job that is submitted two seconds later completes")
   local job = submit("vm2", {tasks = 4, ms = 100})
   run(1000)
   check_equal(outcome(job), "completed")
   check_promises()
 end)
 
-scenario("a draining VM answers what it has and gives its roles to others", function()
+-- Guards against jobs that are lost or repeated, and callers that have to wait, during an upgrade.
+scenario("a draining VM answers its jobs and gives its roles to other VMs", function()
   world{}
   local own = submit("vm0", {tasks = 4, ms = 1500})
   run(200)
@@ -151,6 +160,7 @@
   check_promises()
 end)
 
+-- Guards against jobs that remain unanswered because no other VM can take over the roles.
 scenario("the last VM keeps its roles while it drains", function()
   world{vms = 1, domains = 1}
   local job = submit("vm0", {tasks = 2, ms = 1000})
--- a/src/yuccaplank/scenario/script.cpp
+++ b/src/yuccaplank/scenario/script.cpp
@@ -10,7 +10,7 @@
 namespace yuccaplank::scenario {
 namespace {
 
-// State of one script, found through the Lua registry.
+// State of one script, stored in the Lua registry.
 struct script_state {
   std::unique_ptr<world> World;
   std::vector<scenario_result> Results;
@@ -30,14 +30,14 @@
 world &worldOf(lua_State *Lua) {
   script_state &State = stateOf(Lua);
   if (!State.World)
-    luaL_error(Lua, "world{} has to be called first");
+    luaL_error(Lua, "world{} must be called first");
   return *State.World;
 }
 
-std::string text(lua_State *Lua, int Index) { return luaL_checkstring(Lua, Index); }
-int number(lua_State *Lua, int Index) { return static_cast<int>(luaL_checkinteger(Lua, Index)); }
+std::string textArgument(lua_State *Lua, int Index) { return luaL_checkstring(Lua, Index); }
+int integerArgument(lua_State *Lua, int Index) { return static_cast<int>(luaL_checkinteger(Lua, Index)); }
 
-// Fields of the table at the top-level argument Index.
+// Reads an optional field of the table that is argument Index.
 double numberField(lua_State *Lua, int Index, const char *Key, double Default) {
   lua_getfield(Lua, Index, Key);
   double Value = luaL_optnumber(Lua, -1, Default);
@@ -52,12 +52,12 @@
   return Value;
 }
 
-// Narrative
+// Scenarios, steps and checks
 
 int luaScenario(lua_State *Lua) {
   script_state &State = stateOf(Lua);
   scenario_result Result;
-  Result.Name = text(Lua, 1);
+  Result.Name = textArgument(Lua, 1);
   if (Result.Name.find(State.Filter) == std::string::npos)
     return 0;
   State.World.reset();
@@ -73,7 +73,7 @@
 }
 
 int luaStep(lua_State *Lua) {
-  stateOf(Lua).Step = text(Lua, 1);
+  stateOf(Lua).Step = textArgument(Lua, 1);
   return 0;
 }
 
@@ -95,7 +95,7 @@
   auto Violations = worldOf(Lua).violations();
   if (Violations.empty())
     return 0;
-  return luaL_error(Lua, "%d breaches, first: %s", static_cast<int>(Violations.size()),
+  return luaL_error(Lua, "%d violations; the first: %s", static_cast<int>(Violations.size()),
                     Violations.front().c_str());
 }
 
@@ -128,30 +128,30 @@
 // VMs
 
 simulation::simulated_vm &vmOf(lua_State *Lua, int Index) {
-  return worldOf(Lua).fleet().vm(text(Lua, Index));
+  return worldOf(Lua).fleet().vm(textArgument(Lua, Index));
 }
 
 int luaStart(lua_State *Lua) {
-  worldOf(Lua).fleet().startVm(text(Lua, 1));
+  worldOf(Lua).fleet().startVm(textArgument(Lua, 1));
   return 0;
 }
 int luaKill(lua_State *Lua) {
-  worldOf(Lua).killVm(text(Lua, 1), lua_toboolean(Lua, 2) != 0);
+  worldOf(Lua).killVm(textArgument(Lua, 1), lua_toboolean(Lua, 2) != 0);
   return 0;
 }
 int luaPause(lua_State *Lua) {
-  worldOf(Lua).fleet().pauseVm(text(Lua, 1));
+  worldOf(Lua).fleet().pauseVm(textArgument(Lua, 1));
   return 0;
 }
 int luaResume(lua_State *Lua) {
-  worldOf(Lua).fleet().resumeVm(text(Lua, 1));
+  worldOf(Lua).fleet().resumeVm(textArgument(Lua, 1));
   return 0;
 }
 int luaLag(lua_State *Lua) {
   simulation::vm_lag Lag;
-  Lag.Arrivals = runtime::fromMs(number(Lua, 2));
-  Lag.Sends = runtime::fromMs(number(Lua, 3));
-  worldOf(Lua).fleet().vm(text(Lua, 1)).Executor.setLag(Lag);
+  Lag.ArrivalDelay = runtime::fromMs(integerArgument(Lua, 2));
+  Lag.SendDelay = runtime::fromMs(integerArgument(Lua, 3));
+  worldOf(Lua).fleet().vm(textArgument(Lua, 1)).Executor.setLag(Lag);
   return 0;
 }
 int luaDrain(lua_State *Lua) {
@@ -170,16 +170,16 @@
   bool InContact = false;
   schema::fleet_report Reported = vmOf(Lua, 1).Vm->report();
   for (const schema::vm_report &Report : Reported.vms())
-    InContact |= Report.vm() == text(Lua, 2) && Report.in_contact();
+    InContact |= Report.vm() == textArgument(Lua, 2) && Report.in_contact();
   lua_pushboolean(Lua, InContact ? 1 : 0);
   return 1;
 }
 int luaOwner(lua_State *Lua) {
-  lua_pushstring(Lua, worldOf(Lua).ownerOf(text(Lua, 1)).c_str());
+  lua_pushstring(Lua, worldOf(Lua).ownerOf(textArgument(Lua, 1)).c_str());
   return 1;
 }
 int luaConfigure(lua_State *Lua) {
-  worldOf(Lua).fleet().configure(vmOf(Lua, 1), static_cast<std::uint64_t>(number(Lua, 2)));
+  worldOf(Lua).fleet().configure(vmOf(Lua, 1), static_cast<std::uint64_t>(integerArgument(Lua, 2)));
   return 0;
 }
 int luaVersion(lua_State *Lua) {
@@ -190,15 +190,15 @@
 // Links
 
 int luaCut(lua_State *Lua) {
-  worldOf(Lua).cutDomain(text(Lua, 1));
+  worldOf(Lua).cutDomain(textArgument(Lua, 1));
   return 0;
 }
 int luaCutLink(lua_State *Lua) {
-  worldOf(Lua).cutLink(text(Lua, 1), text(Lua, 2));
+  worldOf(Lua).cutLink(textArgument(Lua, 1), textArgument(Lua, 2));
   return 0;
 }
 int luaReset(lua_State *Lua) {
-  worldOf(Lua).fleet().resetConnection(text(Lua, 1), text(Lua, 2));
+  worldOf(Lua).fleet().resetConnection(textArgument(Lua, 1), textArgument(Lua, 2));
   return 0;
 }
 int luaHeal(lua_State *Lua) {
@@ -215,45 +215,45 @@
 
 using simulation::simulated_servers;
 
-constexpr double SlowFactor = 6;
+constexpr double SlowdownFactor = 6;
 constexpr auto ServerChanges = std::to_array<server_change>({
     {"normal",
      [](simulated_servers &Servers, const std::string &Server) {
        Servers.setFailing(Server, false);
        Servers.setHanging(Server, false);
        Servers.setCut(Server, false);
-       Servers.setSlow(Server, 1);
+       Servers.setSlowdown(Server, 1);
      }},
     {"failing",
      [](simulated_servers &Servers, const std::string &Server) { Servers.setFailing(Server, true); }},
     {"hanging",
      [](simulated_servers &Servers, const std::string &Server) { Servers.setHanging(Server, true); }},
-    {"slow",
-     [](simulated_servers &Servers, const std::string &Server) { Servers.setSlow(Server, SlowFactor); }},
+    {"slow", [](simulated_servers &Servers,
+                const std::string &Server) { Servers.setSlowdown(Server, SlowdownFactor); }},
     {"cut", [](simulated_servers &Servers, const std::string &Server) { Servers.setCut(Server, true); }},
     {"crashed", [](simulated_servers &Servers, const std::string &Server) { Servers.crash(Server); }},
     {"started", [](simulated_servers &Servers, const std::string &Server) { Servers.start(Server); }},
 });
 
 int luaServer(lua_State *Lua) {
-  std::string Wanted = text(Lua, 2);
+  std::string ChangeName = textArgument(Lua, 2);
   for (const server_change &Change : ServerChanges)
-    if (Wanted == Change.Name) {
-      Change.Apply(worldOf(Lua).fleet().servers(), text(Lua, 1));
+    if (ChangeName == Change.Name) {
+      Change.Apply(worldOf(Lua).fleet().servers(), textArgument(Lua, 1));
       return 0;
     }
-  return luaL_error(Lua, "unknown change of a server: %s", Wanted.c_str());
+  return luaL_error(Lua, "unknown change of a server: %s", ChangeName.c_str());
 }
 
 // Callers
 
 int luaSubmit(lua_State *Lua) {
-  std::string Vm = text(Lua, 1);
+  std::string Vm = textArgument(Lua, 1);
   luaL_checktype(Lua, 2, LUA_TTABLE);
   job_spec Spec;
   Spec.Queue = textField(Lua, 2, "queue", simulation::QueueName);
   Spec.Tasks = static_cast<std::uint32_t>(numberField(Lua, 2, "tasks", 1));
-  Spec.Ms = numberField(Lua, 2, "ms", Spec.Ms);
+  Spec.TaskMs = numberField(Lua, 2, "ms", Spec.TaskMs);
   Spec.DeclaredMs = numberField(Lua, 2, "declared_ms", 0);
   Spec.Cores = numberField(Lua, 2, "cores", Spec.Cores);
   Spec.DeadlineMs = numberField(Lua, 2, "deadline_ms", Spec.DeadlineMs);
@@ -262,24 +262,24 @@
 }
 
 int luaResubmit(lua_State *Lua) {
-  std::string Vm = text(Lua, 1);
-  lua_pushinteger(
-      Lua, static_cast<lua_Integer>(worldOf(Lua).resubmit(Vm, static_cast<std::size_t>(number(Lua, 2)))));
+  std::string Vm = textArgument(Lua, 1);
+  lua_pushinteger(Lua, static_cast<lua_Integer>(
+                           worldOf(Lua).resubmit(Vm, static_cast<std::size_t>(integerArgument(Lua, 2)))));
   return 1;
 }
 
 int luaLeave(lua_State *Lua) {
-  worldOf(Lua).leave(static_cast<std::size_t>(number(Lua, 1)));
+  worldOf(Lua).leave(static_cast<std::size_t>(integerArgument(Lua, 1)));
   return 0;
 }
 
 int luaCancel(lua_State *Lua) {
-  worldOf(Lua).cancel(text(Lua, 1), static_cast<std::size_t>(number(Lua, 2)));
+  worldOf(Lua).cancel(textArgument(Lua, 1), static_cast<std::size_t>(integerArgument(Lua, 2)));
   return 0;
 }
 
 const submission_record &submission(lua_State *Lua) {
-  return worldOf(Lua).submission(static_cast<std::size_t>(number(Lua, 1)));
+  return worldOf(Lua).submission(static_cast<std::size_t>(integerArgument(Lua, 1)));
 }
 
 int luaOutcome(lua_State *Lua) {
@@ -299,16 +299,16 @@
   return 1;
 }
 int luaTook(lua_State *Lua) {
-  lua_pushnumber(Lua, submission(Lua).TookMs);
+  lua_pushnumber(Lua, submission(Lua).LatencyMs);
   return 1;
 }
 int luaStarts(lua_State *Lua) {
-  auto Count = worldOf(Lua).starts(static_cast<std::size_t>(number(Lua, 1)));
+  auto Count = worldOf(Lua).startCount(static_cast<std::size_t>(integerArgument(Lua, 1)));
   lua_pushinteger(Lua, static_cast<lua_Integer>(Count));
   return 1;
 }
 int luaRunning(lua_State *Lua) {
-  lua_pushinteger(Lua, worldOf(Lua).running(static_cast<std::size_t>(number(Lua, 1))));
+  lua_pushinteger(Lua, worldOf(Lua).runningTasks(static_cast<std::size_t>(integerArgument(Lua, 1))));
   return 1;
 }
 
@@ -358,7 +358,7 @@
   script_state State;
   State.Filter = Filter;
   std::unique_ptr<lua_State, void (*)(lua_State *)> Lua(luaL_newstate(), lua_close);
-  // Scripts get no input, output or system functions, so that every run is the same.
+  // Scripts get no input, output or system functions, so that every run is reproducible.
   luaL_requiref(Lua.get(), "_G", luaopen_base, 1);
   luaL_requiref(Lua.get(), LUA_STRLIBNAME, luaopen_string, 1);
   luaL_requiref(Lua.get(), LUA_TABLIBNAME, luaopen_table, 1);
--- a/src/yuccaplank/scenario/script.hpp
+++ b/src/yuccaplank/scenario/script.hpp
@@ -1,4 +1,4 @@
-// Runs scenario scripts in Lua.
+// Runs scenario scripts, which are written in Lua.
 #pragma once
 
 #include <string>
@@ -9,11 +9,12 @@
 struct scenario_result {
   std::string Name;
   bool Passed = false;
-  /// What failed, with the step that was running.
+  /// The current step and the error message; empty if the scenario passed.
   std::string Failure;
 };
 
-/// Runs every scenario of a script. See scenarios/README.md for the functions that scripts may call.
+/// Runs the scenarios of a script whose names contain Filter. scenarios/README.md lists the functions that
+/// scripts may call.
 std::vector<scenario_result> runScript(const std::string &File, const std::string &Filter = {});
 
 } // namespace yuccaplank::scenario
--- a/src/yuccaplank/scenario/world.cpp
+++ b/src/yuccaplank/scenario/world.cpp
@@ -9,9 +9,9 @@
 
 using simulation::simulated_vm;
 
-constexpr double ThousandthsOfCore = 1000;
-// Until all VMs have found each other and claimed their servers.
-constexpr auto StartTime = std::chrono::seconds(2);
+constexpr double MillicoresPerCore = 1000;
+// Time in which all VMs discover each other and claim their servers.
+constexpr auto StartupDuration = std::chrono::seconds(2);
 
 } // namespace
 
@@ -29,20 +29,20 @@
             onAnswer(Vm, Job, Answer);
           }) {
   Fleet.start();
-  Executor->advance(StartTime);
+  Executor->advance(StartupDuration);
 }
 
 double world::nowMs() const { return runtime::toMs(Executor->clock().now().time_since_epoch()); }
 
-void world::killVm(const std::string &Vm, bool Silent) {
-  Fleet.endVm(Vm, Silent);
+void world::killVm(const std::string &Vm, bool PowerLoss) {
+  Fleet.endVm(Vm, PowerLoss);
   for (submission_record &Record : Submissions)
     if (Record.Vm == Vm && !Record.Answered)
       Record.ConnectionLost = true;
 }
 
 void world::cutDomain(const std::string &Domain) {
-  Fleet.eachLinkOf(Domain, [this](const std::string &From, const std::string &To) { cutLink(From, To); });
+  Fleet.forEachLink(Domain, [this](const std::string &From, const std::string &To) { cutLink(From, To); });
 }
 
 void world::cutLink(const std::string &From, const std::string &To) {
@@ -58,13 +58,13 @@
 
 std::string world::ownerOf(const std::string &Server) {
   for (std::uint32_t Index = 0; Index < Fleet.layout().Vms; ++Index) {
-    simulated_vm &Life = Fleet.vm(simulation::simulated_fleet::vmName(Index));
-    if (!Life.Executor.alive())
+    simulated_vm &Process = Fleet.vm(simulation::simulated_fleet::vmName(Index));
+    if (!Process.Executor.alive())
       continue;
-    schema::fleet_report Reported = Life.Vm->report();
+    schema::fleet_report Reported = Process.Vm->report();
     for (const schema::server_report &Report : Reported.servers())
       if (Report.server() == Server)
-        return Life.Name;
+        return Process.Name;
   }
   return {};
 }
@@ -76,10 +76,10 @@
   dispatch::job_request &Request = Record.Request;
   Request.Job = Record.Job;
   Request.TaskCount = Spec.Tasks;
-  Request.TaskSize.set_cpu(static_cast<std::uint32_t>(Spec.Cores * ThousandthsOfCore));
+  Request.TaskSize.set_cpu(static_cast<std::uint32_t>(Spec.Cores * MillicoresPerCore));
   Request.TaskSize.set_memory_mb(64);
-  Request.EstimateMs = static_cast<std::uint32_t>(Spec.DeclaredMs > 0 ? Spec.DeclaredMs : Spec.Ms);
-  Request.Specification = standin::encodeWork({Request.TaskSize.cpu(), runtime::fromMs(Spec.Ms), false});
+  Request.EstimateMs = static_cast<std::uint32_t>(Spec.DeclaredMs > 0 ? Spec.DeclaredMs : Spec.TaskMs);
+  Request.Specification = standin::encodeWork({Request.TaskSize.cpu(), runtime::fromMs(Spec.TaskMs), false});
   Request.Deadline = runtime::fromMs(Spec.DeadlineMs);
   return send(Vm, std::move(Record));
 }
@@ -94,41 +94,43 @@
 
 std::size_t world::send(const std::string &Vm, submission_record Record) {
   Record.Vm = Vm;
-  Record.Sent = Executor->clock().now();
-  simulated_vm &Life = Fleet.vm(Vm);
-  Record.ConnectionLost = !Life.Executor.alive();
+  Record.SentAt = Executor->clock().now();
+  simulated_vm &Process = Fleet.vm(Vm);
+  Record.ConnectionLost = !Process.Executor.alive();
   dispatch::job_request Request = Record.Request;
   std::string Queue = Record.Queue;
   Submissions.push_back(std::move(Record));
-  if (Life.Executor.alive())
-    Life.Executor.guard(
-        [&Life, Queue, Request] { Life.Vm->jobs().submit(*Life.Vm->current()->find("", Queue), Request); })();
+  if (Process.Executor.alive())
+    Process.Executor.guard([&Process, Queue, Request] {
+      Process.Vm->jobs().submit(*Process.Vm->current()->find("", Queue), Request);
+    })();
   return Submissions.size() - 1;
 }
 
 void world::leave(std::size_t Submission) {
   submission_record &Record = Submissions.at(Submission);
   Record.Left = true;
-  simulated_vm &Life = Fleet.vm(Record.Vm);
-  Life.Executor.guard(
-      [&Life, Job = Record.Job] { Life.Vm->jobs().cancel(Job, dispatch::end_reason::CallerLeft); })();
+  simulated_vm &Process = Fleet.vm(Record.Vm);
+  Process.Executor.guard(
+      [&Process, Job = Record.Job] { Process.Vm->jobs().cancel(Job, dispatch::end_reason::CallerLeft); })();
 }
 
 void world::cancel(const std::string &Vm, std::size_t Submission) {
-  simulated_vm &Life = Fleet.vm(Vm);
-  Life.Executor.guard([&Life, Job = Submissions.at(Submission).Job] { Life.Vm->cancel(Job, [](bool) {}); })();
+  simulated_vm &Process = Fleet.vm(Vm);
+  Process.Executor.guard(
+      [&Process, Job = Submissions.at(Submission).Job] { Process.Vm->cancel(Job, [](bool) {}); })();
 }
 
-std::uint64_t world::starts(std::size_t Submission) const {
+std::uint64_t world::startCount(std::size_t Submission) const {
   auto Found = Starts.find(Submissions.at(Submission).Job);
   return Found == Starts.end() ? 0 : Found->second;
 }
 
-std::uint32_t world::running(std::size_t Submission) {
+std::uint32_t world::runningTasks(std::size_t Submission) {
   const submission_record &Record = Submissions.at(Submission);
   std::uint32_t Sum = 0;
   for (std::uint32_t Index = 0; Index < Record.Request.TaskCount; ++Index)
-    Sum += static_cast<std::uint32_t>(Fleet.servers().running({Record.Job, Index}).size());
+    Sum += static_cast<std::uint32_t>(Fleet.servers().serversRunning({Record.Job, Index}).size());
   return Sum;
 }
 
@@ -142,10 +144,10 @@
 
 void world::onStart(const std::string &Server, const dispatch::run_key &Run) {
   ++Starts[Run.Task.Job];
-  if (Fleet.servers().running(Run.Task).size() > 1)
+  if (Fleet.servers().serversRunning(Run.Task).size() > 1)
     Violations.push_back(fmt::format("two runs of {} at the same time", dispatch::format(Run)));
   if (Fleet.servers().usedCpu(Server) > Fleet.servers().capacityCpu(Server))
-    Violations.push_back(fmt::format("{} starts on {} beyond its room", dispatch::format(Run), Server));
+    Violations.push_back(fmt::format("{} starts on {} beyond its capacity", dispatch::format(Run), Server));
   bool MayRun = std::ranges::any_of(Submissions, [&](const submission_record &Record) {
     return Record.Job == Run.Task.Job &&
            !(Record.Answered && Record.Answer.Outcome == dispatch::job_outcome::Refused);
@@ -161,7 +163,7 @@
     if (std::exchange(Record.Answered, true))
       continue;
     Record.Answer = Answer;
-    Record.TookMs = runtime::toMs(Executor->clock().now() - Record.Sent);
+    Record.LatencyMs = runtime::toMs(Executor->clock().now() - Record.SentAt);
     bool OnlySubmission = std::ranges::count(Submissions, Job, &submission_record::Job) == 1;
     if (Answer.Outcome == dispatch::job_outcome::Refused && OnlySubmission && Starts.contains(Job))
       Violations.push_back(fmt::format("job {} was refused although it ran", Job));
--- a/src/yuccaplank/scenario/world.hpp
+++ b/src/yuccaplank/scenario/world.hpp
@@ -1,5 +1,5 @@
-// Surroundings of a scenario: entry VMs with the real decision code on a simulated network, with simulated
-// backend servers, on a paused clock. Promises are checked at every start and every answer.
+// Environment of a scenario: entry VMs with the daemon's decision code, a simulated network and simulated
+// backend servers on a manually advanced clock. The invariants are checked at every start and every answer.
 #pragma once
 
 #include "yuccaplank/simulation/simulated_fleet.hpp"
@@ -23,7 +23,7 @@
 struct job_spec {
   std::string Queue = simulation::QueueName;
   std::uint32_t Tasks = 1;
-  double Ms = 100;
+  double TaskMs = 100;
   double DeclaredMs = 0;
   double Cores = 27;
   double DeadlineMs = 10'000;
@@ -35,12 +35,12 @@
   std::string Vm;
   dispatch::job_request Request;
   std::string Queue;
-  runtime::time_point Sent{};
-  double TookMs = 0;
+  runtime::time_point SentAt{};
+  double LatencyMs = 0;
   bool Answered = false;
-  /// The VM ended before it answered: the caller's connection closed.
+  /// Whether the caller's connection closed because the VM ended before it answered.
   bool ConnectionLost = false;
-  /// The caller has left.
+  /// Whether the caller has left.
   bool Left = false;
   dispatch::job_answer Answer;
 };
@@ -53,26 +53,27 @@
   [[nodiscard]] double nowMs() const;
   simulation::simulated_fleet &fleet() { return Fleet; }
 
-  void killVm(const std::string &Vm, bool Silent);
+  void killVm(const std::string &Vm, bool PowerLoss);
   void cutDomain(const std::string &Domain);
   void cutLink(const std::string &From, const std::string &To);
   void heal();
-  /// VM that owns a server; empty when none of them does.
+  /// Returns the VM that owns a server; empty when none does.
   [[nodiscard]] std::string ownerOf(const std::string &Server);
 
   std::size_t submit(const std::string &Vm, const job_spec &Spec);
-  /// The same job once more, as after a lost answer.
+  /// Submits the same job again, as a caller does after it has lost the answer.
   std::size_t resubmit(const std::string &Vm, std::size_t Submission);
+  /// Ends the caller's connection.
   void leave(std::size_t Submission);
   /// Cancels the job of a submission through a VM.
   void cancel(const std::string &Vm, std::size_t Submission);
   [[nodiscard]] const submission_record &submission(std::size_t Index) const { return Submissions.at(Index); }
-  /// Starts of the tasks of the submission's job on all servers.
-  [[nodiscard]] std::uint64_t starts(std::size_t Submission) const;
-  /// Tasks of the submission's job that run now.
-  [[nodiscard]] std::uint32_t running(std::size_t Submission);
+  /// Number of starts of the submission's tasks on all servers.
+  [[nodiscard]] std::uint64_t startCount(std::size_t Submission) const;
+  /// Number of the submission's tasks that run now.
+  [[nodiscard]] std::uint32_t runningTasks(std::size_t Submission);
 
-  /// Every violation of a promise so far, one line each.
+  /// Returns all violations of invariants so far, one line each.
   [[nodiscard]] std::vector<std::string> violations() const;
 
 private:
--- a/src/yuccaplank/simulation/delay_line.hpp
+++ b/src/yuccaplank/simulation/delay_line.hpp
@@ -1,4 +1,4 @@
-// Runs functions later and in the order in which they were added, as a queue that is worked off late does.
+// Runs functions after a delay and in the order in which they were added, like a queue with a backlog.
 #pragma once
 
 #include "yuccaplank/runtime/executor.hpp"
@@ -13,21 +13,21 @@
 public:
   explicit delay_line(runtime::executor &Executor) : Executor(Executor) {}
 
-  /// What is added from now on runs this much later; when the delay falls, it still follows what is under
-  /// way.
-  void setDelay(runtime::duration Time) { Delay = Time; }
+  /// Delays the functions that are added from now on. They still run after all pending ones when the delay
+  /// has been reduced.
+  void setDelay(runtime::duration NewDelay) { Delay = NewDelay; }
 
-  /// Runs the function at once when there is no delay and nothing is under way.
+  /// Runs the function at once when there is no delay and no function is pending.
   void add(std::function<void()> Function) {
     runtime::time_point Now = Executor.clock().now();
-    if (Delay == runtime::duration::zero() && UnderWay == 0) {
+    if (Delay == runtime::duration::zero() && PendingCalls == 0) {
       Function();
       return;
     }
     LastDue = std::max(LastDue, Now + Delay);
-    ++UnderWay;
+    ++PendingCalls;
     Executor.after(LastDue - Now, [this, Function = std::move(Function)] {
-      --UnderWay;
+      --PendingCalls;
       Function();
     });
   }
@@ -36,7 +36,7 @@
   runtime::executor &Executor;
   runtime::duration Delay{};
   runtime::time_point LastDue{};
-  std::size_t UnderWay = 0;
+  std::size_t PendingCalls = 0;
 };
 
 } // namespace yuccaplank::simulation
--- a/src/yuccaplank/simulation/fleet_simulation.cpp
+++ b/src/yuccaplank/simulation/fleet_simulation.cpp
@@ -18,46 +18,49 @@
 using runtime::fromMs;
 using runtime::time_point;
 
+// One-way network delay between a caller and a VM.
 constexpr double CallerDelayMs = 3;
-// Time after which a caller sends a job again when the connection broke or the answer was 502 or 504.
-constexpr double ResendMs = 1300;
-// Time after which nothing of a job may run whose caller has left, and the time of a stop.
-constexpr double CancelMs = 3050;
-constexpr auto Settle = std::chrono::seconds(12);
+// Delay before a caller sends a job again after a broken connection or an answer with status 502 or 504.
+constexpr double ResendDelayMs = 1300;
+// Time after a caller's departure from which no task of its job may start; includes the time that a stop
+// takes.
+constexpr double CancelLimitMs = 3050;
+// Time after the end of the traffic in which the remaining jobs have to be answered.
+constexpr auto SettleDelay = std::chrono::seconds(12);
 
 struct simulated_job {
   const job_kind *Kind = nullptr;
   duration Objective{};
-  double Worth = 0;
+  double Credit = 0;
   time_point FirstSent{};
   dispatch::job_request Request;
   bool CallerWaits = true;
   bool Answered = false;
-  // Attempts that were not refused.
+  // Attempts that have not been refused.
   int OpenAttempts = 0;
   bool EverStarted = false;
   std::string Vm;
   std::uint64_t Attempt = 0;
   time_point LeftAt{};
   bool Left = false;
-  bool Calm = false;
+  bool AfterFaults = false;
 };
 
-fleet_layout layoutOf(const simulation_options &Options) {
+fleet_layout makeLayout(const simulation_options &Options) {
   fleet_layout Layout{Options.Vms, Options.Domains, Options.Servers, Options.DispatchersPerDomain, {}};
-  Layout.EqualVms = !Options.Lags;
+  Layout.EqualVms = !Options.EnableLags;
   for (const job_kind &Kind : Options.Kinds)
     Layout.Queues.push_back(makeQueue(Kind.Queue, Kind.Priority));
   return Layout;
 }
 
-// Callers and faults around a fleet.
-class random_day {
+// Runs a fleet together with its callers and faults.
+class simulated_day {
 public:
-  explicit random_day(const simulation_options &Options)
+  explicit simulated_day(const simulation_options &Options)
       : Options(Options), Executor(runtime::makeManualExecutor()), Random(Options.Seed),
         Fleet(
-            *Executor, Random, layoutOf(Options), {Options.LateOrders, Options.LostAnswers},
+            *Executor, Random, makeLayout(Options), {Options.LateOrderShare, Options.LostAnswerShare},
             [this](const std::string &Server, const dispatch::run_key &Run) { onStart(Server, Run); },
             [this](const std::string &Vm, std::uint64_t Job, const job_answer &Answer) {
               onAnswer(Vm, Job, Answer);
@@ -66,16 +69,16 @@
   simulation_result run() {
     Fleet.start();
     Executor->advance(std::chrono::seconds(2));
-    TrafficEnd = Executor->clock().now() + fromMs(Options.Seconds * 1000);
-    FaultsEnd = Executor->clock().now() + fromMs(Options.Seconds * 1000 * FaultyShare);
+    TrafficEnd = Executor->clock().now() + fromMs(Options.TrafficSeconds * 1000);
+    FaultsEnd = Executor->clock().now() + fromMs(Options.TrafficSeconds * 1000 * FaultPhaseShare);
     scheduleTraffic();
     if (Options.FaultsPerSecond > 0)
       scheduleFault();
     if (Options.CountMessages)
       Fleet.net().countMessages();
-    Executor->advance(fromMs(Options.Seconds * 1000));
-    noteMessages();
-    Executor->advance(Settle);
+    Executor->advance(fromMs(Options.TrafficSeconds * 1000));
+    recordMessageRates();
+    Executor->advance(SettleDelay);
     for (const auto &[Id, Job] : Jobs)
       if (Job.CallerWaits && !Job.Answered)
         addViolation(fmt::format("job {:016x} has no answer", Id));
@@ -83,22 +86,22 @@
   }
 
 private:
-  // The rest of the time shows whether the fleet recovers.
-  static constexpr double FaultyShare = 0.6;
+  // Share of the traffic time in which faults occur; the rest shows whether the fleet recovers.
+  static constexpr double FaultPhaseShare = 0.6;
 
-  void noteMessages() {
+  void recordMessageRates() {
     const auto &Counts = Fleet.net().counts();
     if (!Counts)
       return;
     for (const auto &[Vm, Count] : Counts->BySender) {
-      double PerSecond = static_cast<double>(Count.Messages) / Options.Seconds;
-      Result.MessagesOfVm += PerSecond / Options.Vms;
-      Result.MostMessagesOfVm = std::max(Result.MostMessagesOfVm, PerSecond);
-      Result.MostBytesOfVm =
-          std::max(Result.MostBytesOfVm, static_cast<double>(Count.Bytes) / Options.Seconds);
+      double PerSecond = static_cast<double>(Count.Messages) / Options.TrafficSeconds;
+      Result.MeanVmMessagesPerSecond += PerSecond / Options.Vms;
+      Result.MaxVmMessagesPerSecond = std::max(Result.MaxVmMessagesPerSecond, PerSecond);
+      Result.MaxVmBytesPerSecond =
+          std::max(Result.MaxVmBytesPerSecond, static_cast<double>(Count.Bytes) / Options.TrafficSeconds);
     }
     for (const auto &[Kind, Count] : Counts->ByKind)
-      Result.MessagesByKind[Kind] = static_cast<double>(Count.Messages) / Options.Seconds;
+      Result.MessagesPerSecondByKind[Kind] = static_cast<double>(Count.Messages) / Options.TrafficSeconds;
   }
 
   void addViolation(std::string Text) {
@@ -112,106 +115,108 @@
       fmt::print(stderr, "{:9.2f} {}\n", runtime::toMs(Executor->clock().now().time_since_epoch()), Text);
   }
 
-  // Callers.
+  // Callers
 
   void scheduleTraffic() {
     TrafficBegin = Executor->clock().now();
     if (Options.Kinds.empty())
-      scheduleJob();
+      scheduleRandomJob();
     for (const job_kind &Kind : Options.Kinds)
-      scheduleKind(Kind);
-    if (Options.SlowShare > 0) {
-      Executor->after(fromMs(Options.Seconds * 1000 / 3), [this] { setSlow(Options.SlowFactor); });
-      Executor->after(fromMs(Options.Seconds * 2000 / 3), [this] { setSlow(1); });
+      scheduleJobOfKind(Kind);
+    if (Options.SlowServerShare > 0) {
+      Executor->after(fromMs(Options.TrafficSeconds * 1000 / 3),
+                      [this] { setSlowdown(Options.SlowdownFactor); });
+      Executor->after(fromMs(Options.TrafficSeconds * 2000 / 3), [this] { setSlowdown(1); });
     }
   }
 
-  void setSlow(double Factor) {
+  void setSlowdown(double Factor) {
     auto Names = Fleet.servers().names();
-    auto Count = static_cast<std::size_t>(Options.SlowShare * static_cast<double>(Names.size()));
+    auto Count = static_cast<std::size_t>(Options.SlowServerShare * static_cast<double>(Names.size()));
     for (std::size_t Index = 0; Index < Count; ++Index)
-      Fleet.servers().setSlow(Names[Index * Names.size() / Count], Factor);
+      Fleet.servers().setSlowdown(Names[Index * Names.size() / Count], Factor);
   }
 
   [[nodiscard]] double burstFactor(const job_kind &Kind) const {
     double Second = runtime::toMs(Executor->clock().now() - TrafficBegin) / 1000;
     double Factor = 1;
     for (const load_burst &Burst : Options.Bursts)
-      if ((Burst.Queue.empty() || Burst.Queue == Kind.Queue) && Second >= Burst.AtSecond &&
-          Second < Burst.AtSecond + Burst.Seconds)
+      if ((Burst.Queue.empty() || Burst.Queue == Kind.Queue) && Second >= Burst.StartSecond &&
+          Second < Burst.StartSecond + Burst.DurationSeconds)
         Factor *= Burst.Factor;
     return Factor;
   }
 
-  // Poisson arrivals.
-  void scheduleKind(const job_kind &Kind) {
+  // Jobs arrive as a Poisson process.
+  void scheduleJobOfKind(const job_kind &Kind) {
     double MeanMs = 1000 / (Kind.JobsPerSecond * burstFactor(Kind));
     Executor->after(fromMs(-MeanMs * std::log(1 - Random.uniform())), [this, &Kind] {
       if (Executor->clock().now() >= TrafficEnd)
         return;
-      submitOfKind(Kind);
-      scheduleKind(Kind);
+      submitJobOfKind(Kind);
+      scheduleJobOfKind(Kind);
     });
   }
 
-  double spread(double Sigma) {
+  double sampleLogNormal(double Sigma) {
     return std::exp(std::normal_distribution<double>(0, Sigma)(Random.engine()));
   }
 
-  void submitOfKind(const job_kind &Kind) {
+  void submitJobOfKind(const job_kind &Kind) {
     std::uint64_t Id = Random.next();
     simulated_job &Job = Jobs[Id];
     Job.Kind = &Kind;
     Job.FirstSent = Executor->clock().now();
-    double Ms = Kind.TaskMs * spread(SizeSpread);
+    double Ms = Kind.TaskMs * sampleLogNormal(SizeSpread);
     Job.Request.Job = Id;
     Job.Request.TaskCount =
-        std::max(1U, static_cast<std::uint32_t>(std::lround(Kind.Tasks * spread(SizeSpread))));
-    Job.Request.TaskSize.set_cpu(static_cast<std::uint32_t>(std::min(Kind.TaskCpu * spread(0.2), 41000.0)));
+        std::max(1U, static_cast<std::uint32_t>(std::lround(Kind.Tasks * sampleLogNormal(SizeSpread))));
+    Job.Request.TaskSize.set_cpu(
+        static_cast<std::uint32_t>(std::min(Kind.TaskCpu * sampleLogNormal(0.2), 41000.0)));
     Job.Request.TaskSize.set_memory_mb(64);
-    Job.Request.EstimateMs = static_cast<std::uint32_t>(Ms * spread(EstimateSpread)) + 1;
+    Job.Request.EstimateMs = static_cast<std::uint32_t>(Ms * sampleLogNormal(EstimateSpread)) + 1;
     Job.Request.Specification = standin::encodeWork({Job.Request.TaskSize.cpu(), fromMs(Ms), false});
     Job.Request.Deadline = fromMs(1800 + 3500 * Random.uniform());
     Job.Objective = fromMs(1.6 * Ms + 60);
     double Work =
         Job.Request.TaskCount * Ms * Job.Request.TaskSize.cpu() / (Kind.Tasks * Kind.TaskMs * Kind.TaskCpu);
-    Job.Worth = Kind.Worth * std::min(4.0, 0.3 + 0.7 * Work);
+    Job.Credit = Kind.MeanCredit * std::min(4.0, 0.3 + 0.7 * Work);
     ++Result.Jobs;
-    simulation_result::credit &Credit = Result.Credit[Kind.Queue];
-    Credit.Owed += Job.Worth;
+    simulation_result::credit &Credit = Result.CreditByQueue[Kind.Queue];
+    Credit.Attainable += Job.Credit;
     ++Credit.Jobs;
-    attempt(Id);
+    sendAttempt(Id);
     Executor->after(Job.Request.Deadline + std::chrono::seconds(4), [this, Id] { leave(Id); });
   }
 
-  void noteCredit(const simulated_job &Job, bool Completed) {
+  void recordCredit(const simulated_job &Job, bool Completed) {
     if (!Job.Kind)
       return;
-    simulation_result::credit &Credit = Result.Credit[Job.Kind->Queue];
+    simulation_result::credit &Credit = Result.CreditByQueue[Job.Kind->Queue];
     duration Took = Executor->clock().now() - Job.FirstSent + 2 * fromMs(CallerDelayMs);
     if (!Completed) {
       ++Credit.Refused;
     } else if (Took <= Job.Objective) {
-      Credit.Earned += Job.Worth;
+      Credit.Earned += Job.Credit;
       ++Credit.InTime;
     } else if (Took <= 3 * Job.Objective) {
-      Credit.Earned += Job.Worth * LateShare;
+      Credit.Earned += Job.Credit * LateCreditShare;
       ++Credit.Late;
     } else {
       ++Credit.TooLate;
     }
   }
 
-  void scheduleJob() {
+  void scheduleRandomJob() {
     Executor->after(fromMs(2000 / Options.JobsPerSecond * Random.uniform()), [this] {
       if (Executor->clock().now() >= TrafficEnd)
         return;
-      submitNew();
-      scheduleJob();
+      submitRandomJob();
+      scheduleRandomJob();
     });
   }
 
-  void submitNew() {
+  void submitRandomJob() {
     std::uint64_t Id = Random.next();
     simulated_job &Job = Jobs[Id];
     constexpr auto Times = std::to_array({60.0, 200.0, 900.0});
@@ -223,40 +228,40 @@
     Job.Request.EstimateMs = static_cast<std::uint32_t>(Ms * (0.7 + 0.6 * Random.uniform()));
     Job.Request.Specification = standin::encodeWork({Job.Request.TaskSize.cpu(), fromMs(Ms), false});
     Job.Request.Deadline = fromMs(1800 + 3000 * Random.uniform());
-    // Some seconds after the last fault everything is back.
-    Job.Calm = Executor->clock().now() > FaultsEnd + std::chrono::seconds(3);
+    // 3 s after the end of the fault phase, everything has recovered.
+    Job.AfterFaults = Executor->clock().now() > FaultsEnd + std::chrono::seconds(3);
     ++Result.Jobs;
-    Result.CalmJobs += Job.Calm ? 1 : 0;
-    attempt(Id);
-    if (Random.uniform() < Options.LeavingShare)
+    Result.JobsAfterFaults += Job.AfterFaults ? 1 : 0;
+    sendAttempt(Id);
+    if (Random.uniform() < Options.LeavingCallerShare)
       Executor->after(fromMs(400 * Random.uniform()), [this, Id] { leave(Id); });
     Executor->after(Job.Request.Deadline + std::chrono::seconds(4), [this, Id] { leave(Id); });
   }
 
-  void attempt(std::uint64_t Id) {
+  void sendAttempt(std::uint64_t Id) {
     simulated_job &Job = Jobs.at(Id);
     if (!Job.CallerWaits || Job.Answered)
       return;
     Job.Vm = simulated_fleet::vmName(static_cast<std::uint32_t>(Random.next() % Options.Vms));
     std::uint64_t Attempt = ++Job.Attempt;
     Result.Resent += Attempt > 1 ? 1 : 0;
-    simulated_vm *Life = &Fleet.vm(Job.Vm);
-    if (!Life->Executor.alive()) {
-      Executor->after(fromMs(100), [this, Id] { attempt(Id); });
+    simulated_vm *Process = &Fleet.vm(Job.Vm);
+    if (!Process->Executor.alive()) {
+      Executor->after(fromMs(100), [this, Id] { sendAttempt(Id); });
       return;
     }
     ++Job.OpenAttempts;
-    Executor->after(fromMs(CallerDelayMs), [this, Id, Life, Attempt] {
-      if (!Life->Executor.alive()) {
-        onBroken(Id, Attempt);
+    Executor->after(fromMs(CallerDelayMs), [this, Id, Process, Attempt] {
+      if (!Process->Executor.alive()) {
+        onAttemptFailed(Id, Attempt);
         return;
       }
-      Life->Executor.guard([this, Id, Life, Attempt] {
+      Process->Executor.guard([this, Id, Process, Attempt] {
         simulated_job &Submitted = Jobs.at(Id);
         if (Submitted.Attempt != Attempt || !Submitted.CallerWaits)
           return;
         const std::string Queue = Submitted.Kind ? Submitted.Kind->Queue : QueueName;
-        Life->Vm->jobs().submit(*Life->Vm->current()->find("", Queue), Submitted.Request);
+        Process->Vm->jobs().submit(*Process->Vm->current()->find("", Queue), Submitted.Request);
       })();
     });
   }
@@ -274,26 +279,26 @@
         addViolation(fmt::format("job {:016x} was refused as not run although it ran", Id));
     }
     if (Answer.Outcome == job_outcome::TimedOut) {
-      Executor->after(fromMs(CallerDelayMs), [this, Id, Attempt] { onBroken(Id, Attempt); });
+      Executor->after(fromMs(CallerDelayMs), [this, Id, Attempt] { onAttemptFailed(Id, Attempt); });
       return;
     }
     Job.Answered = true;
-    noteCredit(Job, Answer.Outcome == job_outcome::Completed);
+    recordCredit(Job, Answer.Outcome == job_outcome::Completed);
     if (Answer.Outcome == job_outcome::Completed) {
       ++Result.Completed;
-      Result.CalmCompleted += Job.Calm ? 1 : 0;
+      Result.CompletedAfterFaults += Job.AfterFaults ? 1 : 0;
     } else if (Answer.Outcome == job_outcome::Refused) {
       ++Result.Refused;
     }
   }
 
-  void onBroken(std::uint64_t Id, std::uint64_t Attempt) {
+  void onAttemptFailed(std::uint64_t Id, std::uint64_t Attempt) {
     simulated_job &Job = Jobs.at(Id);
     if (Job.Attempt != Attempt || Job.Answered || !Job.CallerWaits)
       return;
-    Executor->after(fromMs(ResendMs), [this, Id, Attempt] {
+    Executor->after(fromMs(ResendDelayMs), [this, Id, Attempt] {
       if (Jobs.at(Id).Attempt == Attempt)
-        attempt(Id);
+        sendAttempt(Id);
     });
   }
 
@@ -305,20 +310,20 @@
     Job.CallerWaits = false;
     Job.Left = true;
     Job.LeftAt = Executor->clock().now();
-    simulated_vm &Life = Fleet.vm(Job.Vm);
-    Executor->after(fromMs(CallerDelayMs), Life.Executor.guard([&Life, Id] {
-      Life.Vm->jobs().cancel(Id, dispatch::end_reason::CallerLeft);
+    simulated_vm &Process = Fleet.vm(Job.Vm);
+    Executor->after(fromMs(CallerDelayMs), Process.Executor.guard([&Process, Id] {
+      Process.Vm->jobs().cancel(Id, dispatch::end_reason::CallerLeft);
     }));
   }
 
-  // Checks.
+  // Checks
 
   void onStart(const std::string &Server, const dispatch::run_key &Run) {
     ++Result.Starts;
     simulated_job &Job = Jobs.at(Run.Task.Job);
     Job.EverStarted = true;
     trace(fmt::format("{} starts {}", Server, dispatch::format(Run)));
-    auto Where = Fleet.servers().running(Run.Task);
+    auto Where = Fleet.servers().serversRunning(Run.Task);
     if (Where.size() > 1)
       addViolation(fmt::format("two runs of {} at the same time, on {}", dispatch::format(Run),
                                fmt::join(Where, " and ")));
@@ -326,186 +331,189 @@
       addViolation(fmt::format("{} is over its capacity", Server));
     if (Job.OpenAttempts == 0)
       addViolation(fmt::format("{} starts after its job was refused as not run", dispatch::format(Run)));
-    if (Job.Left && Executor->clock().now() - Job.LeftAt > fromMs(CancelMs))
-      addViolation(fmt::format("{} starts after its caller has left", dispatch::format(Run)));
+    if (Job.Left && Executor->clock().now() - Job.LeftAt > fromMs(CancelLimitMs))
+      addViolation(fmt::format("{} starts after its caller left", dispatch::format(Run)));
   }
 
-  // Faults.
+  // Faults
 
   void scheduleFault() {
     Executor->after(fromMs(2000 / Options.FaultsPerSecond * Random.uniform()), [this] {
       if (Executor->clock().now() >= FaultsEnd)
         return;
       ++Result.Faults;
-      std::size_t Kinds = Options.Lags ? Faults.size() : Faults.size() - LagFaults;
-      (this->*Faults[Random.next() % Kinds])();
+      std::size_t FaultKindCount = Options.EnableLags ? Faults.size() : Faults.size() - LagFaultCount;
+      (this->*Faults[Random.next() % FaultKindCount])();
       scheduleFault();
     });
   }
 
-  std::string anyVm() {
+  std::string randomVm() {
     return simulated_fleet::vmName(static_cast<std::uint32_t>(Random.next() % Options.Vms));
   }
-  std::string anyServer() {
+  std::string randomServer() {
     auto Names = Fleet.servers().names();
     return Names[Random.next() % Names.size()];
   }
-  // Most faults end before the callers give up.
-  duration faultTime() { return fromMs(100 + 2500 * Random.uniform() * Random.uniform()); }
+  // Short durations are more likely, so that most faults end before the callers give up.
+  duration randomFaultDuration() { return fromMs(100 + 2500 * Random.uniform() * Random.uniform()); }
 
-  void endVm(bool Silent) {
-    std::string Name = anyVm();
-    simulated_vm &Life = Fleet.vm(Name);
-    if (Life.Executor.alive() && !Life.Paused)
-      endVmNamed(Name, Silent);
+  void endRandomVm(bool PowerLoss) {
+    std::string Name = randomVm();
+    simulated_vm &Process = Fleet.vm(Name);
+    if (Process.Executor.alive() && !Process.Paused)
+      endVm(Name, PowerLoss);
   }
-  void endVmNamed(const std::string &Name, bool Silent) {
-    trace(fmt::format("{} {}", Name, Silent ? "loses power" : "is killed"));
-    Fleet.endVm(Name, Silent);
+  void endVm(const std::string &Name, bool PowerLoss) {
+    trace(fmt::format("{} {}", Name, PowerLoss ? "loses power" : "is killed"));
+    Fleet.endVm(Name, PowerLoss);
     for (auto &[Id, Job] : Jobs)
       if (Job.Vm == Name && Job.CallerWaits && !Job.Answered)
         Executor->after(fromMs(CallerDelayMs),
-                        [this, Id = Id, Attempt = Job.Attempt] { onBroken(Id, Attempt); });
-    Executor->after(faultTime(), [this, Name] {
-      trace(fmt::format("{} starts", Name));
+                        [this, Id = Id, Attempt = Job.Attempt] { onAttemptFailed(Id, Attempt); });
+    Executor->after(randomFaultDuration(), [this, Name] {
+      trace(fmt::format("{} restarts", Name));
       Fleet.startVm(Name);
     });
   }
-  void killVm() { endVm(false); }
-  void powerOff() { endVm(true); }
+  void killVm() { endRandomVm(false); }
+  void powerOff() { endRandomVm(true); }
 
   void pauseVm() {
-    std::string Name = anyVm();
-    simulated_vm *Life = &Fleet.vm(Name);
-    if (!Life->Executor.alive() || Life->Paused)
+    std::string Name = randomVm();
+    simulated_vm *Process = &Fleet.vm(Name);
+    if (!Process->Executor.alive() || Process->Paused)
       return;
     trace(fmt::format("{} is paused", Name));
     Fleet.pauseVm(Name);
-    Executor->after(faultTime(), [this, Name, Life] {
-      if (!Life->Executor.alive())
+    Executor->after(randomFaultDuration(), [this, Name, Process] {
+      if (!Process->Executor.alive())
         return;
-      trace(fmt::format("{} goes on", Name));
+      trace(fmt::format("{} resumes", Name));
       Fleet.resumeVm(Name);
     });
   }
 
-  void cutLink(const std::string &From, const std::string &To, duration Time) {
+  void cutLink(const std::string &From, const std::string &To, duration Duration) {
     if (From == To || Fleet.net().cut(From, To))
       return;
-    trace(fmt::format("{} to {} is cut for {} ms", From, To, runtime::toMs(Time)));
+    trace(fmt::format("{} to {} is cut for {} ms", From, To, runtime::toMs(Duration)));
     Fleet.setCut(From, To, true);
-    Executor->after(Time, [this, From, To] {
-      trace(fmt::format("{} to {} is open", From, To));
+    Executor->after(Duration, [this, From, To] {
+      trace(fmt::format("{} to {} is restored", From, To));
       Fleet.setCut(From, To, false);
     });
   }
-  void cutOneWay() { cutLink(anyVm(), anyVm(), faultTime()); }
+  void cutOneWay() { cutLink(randomVm(), randomVm(), randomFaultDuration()); }
   void cutPair() {
-    std::string One = anyVm();
-    std::string Other = anyVm();
-    duration Time = faultTime();
-    cutLink(One, Other, Time);
-    cutLink(Other, One, Time);
+    std::string One = randomVm();
+    std::string Other = randomVm();
+    duration Duration = randomFaultDuration();
+    cutLink(One, Other, Duration);
+    cutLink(Other, One, Duration);
   }
   void cutDomain() {
     std::string Domain = Fleet.domainOf(static_cast<std::uint32_t>(Random.next() % Options.Domains));
-    duration Time = faultTime();
-    Fleet.eachLinkOf(
-        Domain, [this, Time](const std::string &From, const std::string &To) { cutLink(From, To, Time); });
+    duration Duration = randomFaultDuration();
+    Fleet.forEachLink(Domain, [this, Duration](const std::string &From, const std::string &To) {
+      cutLink(From, To, Duration);
+    });
   }
   void resetConnection() {
-    std::string One = anyVm();
-    std::string Other = anyVm();
+    std::string One = randomVm();
+    std::string Other = randomVm();
     trace(fmt::format("connection of {} and {} is reset", One, Other));
     Fleet.resetConnection(One, Other);
   }
   void cutServer() {
-    std::string Name = anyServer();
+    std::string Name = randomServer();
     trace(fmt::format("{} is cut off", Name));
     Fleet.servers().setCut(Name, true);
-    Executor->after(faultTime(), [this, Name] { Fleet.servers().setCut(Name, false); });
+    Executor->after(randomFaultDuration(), [this, Name] { Fleet.servers().setCut(Name, false); });
   }
   void crashServer() {
-    std::string Name = anyServer();
+    std::string Name = randomServer();
     trace(fmt::format("{} crashes", Name));
     Fleet.servers().crash(Name);
-    Executor->after(faultTime(), [this, Name] {
-      trace(fmt::format("{} is back", Name));
+    Executor->after(randomFaultDuration(), [this, Name] {
+      trace(fmt::format("{} restarts", Name));
       Fleet.servers().start(Name);
     });
   }
   void failServer() {
-    std::string Name = anyServer();
+    std::string Name = randomServer();
     Fleet.servers().setFailing(Name, true);
-    Executor->after(faultTime(), [this, Name] { Fleet.servers().setFailing(Name, false); });
+    Executor->after(randomFaultDuration(), [this, Name] { Fleet.servers().setFailing(Name, false); });
   }
   void hangServer() {
-    std::string Name = anyServer();
+    std::string Name = randomServer();
     Fleet.servers().setHanging(Name, true);
-    Executor->after(faultTime(), [this, Name] { Fleet.servers().setHanging(Name, false); });
+    Executor->after(randomFaultDuration(), [this, Name] { Fleet.servers().setHanging(Name, false); });
   }
 
-  duration lagTime() { return fromMs(200 + 2800 * Random.uniform() * Random.uniform()); }
+  duration randomLag() { return fromMs(200 + 2800 * Random.uniform() * Random.uniform()); }
   void lagVm() {
-    std::string Name = anyVm();
-    simulated_vm *Life = &Fleet.vm(Name);
-    if (!Life->Executor.alive())
+    std::string Name = randomVm();
+    simulated_vm *Process = &Fleet.vm(Name);
+    if (!Process->Executor.alive())
       return;
     vm_lag Lag;
     std::uint64_t Kind = Random.next() % 4;
     if (Kind != 0)
-      Lag.Arrivals = lagTime();
-    Lag.Timers = Kind == 2;
+      Lag.ArrivalDelay = randomLag();
+    Lag.DelayTimers = Kind == 2;
     if (Kind != 1)
-      Lag.Sends = lagTime();
-    trace(fmt::format("{} lags: arrivals {} ms{}, sends {} ms", Name, runtime::toMs(Lag.Arrivals),
-                      Lag.Timers ? " and timers" : "", runtime::toMs(Lag.Sends)));
-    Life->Executor.setLag(Lag);
-    Executor->after(faultTime(), [this, Name, Life] {
-      trace(fmt::format("{} lags no more", Name));
-      Life->Executor.setLag({});
+      Lag.SendDelay = randomLag();
+    trace(fmt::format("{} lags: arrivals {} ms{}, sends {} ms", Name, runtime::toMs(Lag.ArrivalDelay),
+                      Lag.DelayTimers ? " and timers" : "", runtime::toMs(Lag.SendDelay)));
+    Process->Executor.setLag(Lag);
+    Executor->after(randomFaultDuration(), [this, Name, Process] {
+      trace(fmt::format("{} no longer lags", Name));
+      Process->Executor.setLag({});
     });
   }
   void lagLink() {
-    std::string From = anyVm();
-    std::string To = anyVm();
-    duration Lag = lagTime();
-    trace(fmt::format("{} to {} takes {} ms more", From, To, runtime::toMs(Lag)));
+    std::string From = randomVm();
+    std::string To = randomVm();
+    duration Lag = randomLag();
+    trace(fmt::format("{} to {} is delayed by {} ms", From, To, runtime::toMs(Lag)));
     Fleet.setExtraDelay(From, To, Lag);
-    Executor->after(faultTime(), [this, From, To] { Fleet.setExtraDelay(From, To, {}); });
+    Executor->after(randomFaultDuration(), [this, From, To] { Fleet.setExtraDelay(From, To, {}); });
   }
-  // One VM after the other drains, ends and starts again.
-  void rollVms() {
+  // Drains, ends and restarts half of the VMs, one after the other.
+  void restartVmsInTurn() {
     auto First = static_cast<std::uint32_t>(Random.next());
     for (std::uint32_t Index = 0; Index < (Options.Vms + 1) / 2; ++Index)
       Executor->after(
-          fromMs(RollGapMs * Index),
-          [this, Name = simulated_fleet::vmName((First + Index) % Options.Vms)] { drainVm(Name); });
+          fromMs(RestartIntervalMs * Index),
+          [this, Name = simulated_fleet::vmName((First + Index) % Options.Vms)] { drainAndRestartVm(Name); });
   }
-  void drainVm(const std::string &Name) {
-    simulated_vm *Life = &Fleet.vm(Name);
-    if (!Life->Executor.alive())
+  void drainAndRestartVm(const std::string &Name) {
+    simulated_vm *Process = &Fleet.vm(Name);
+    if (!Process->Executor.alive())
       return;
     trace(fmt::format("{} drains", Name));
-    Life->Executor.guard([Life] { Life->Vm->drain(); })();
-    Executor->after(fromMs(DrainMs), [this, Name, Life] {
-      if (Life->Executor.alive())
-        endVmNamed(Name, false);
+    Process->Executor.guard([Process] { Process->Vm->drain(); })();
+    Executor->after(fromMs(DrainDurationMs), [this, Name, Process] {
+      if (Process->Executor.alive())
+        endVm(Name, false);
     });
   }
 
-  static constexpr double RollGapMs = 400;
-  static constexpr double DrainMs = 800;
+  static constexpr double RestartIntervalMs = 400;
+  static constexpr double DrainDurationMs = 800;
+  // Spreads are standard deviations of logarithms.
   static constexpr double SizeSpread = 0.4;
   static constexpr double EstimateSpread = 0.4;
-  static constexpr double LateShare = 0.2;
-  static constexpr auto Faults = std::to_array<void (random_day::*)()>(
-      {&random_day::killVm, &random_day::powerOff, &random_day::pauseVm, &random_day::cutOneWay,
-       &random_day::cutPair, &random_day::cutDomain, &random_day::resetConnection, &random_day::cutServer,
-       &random_day::crashServer, &random_day::failServer, &random_day::hangServer, &random_day::lagVm,
-       &random_day::lagVm, &random_day::lagLink, &random_day::rollVms});
-  // At the end of the list.
-  static constexpr std::size_t LagFaults = 4;
+  static constexpr double LateCreditShare = 0.2;
+  static constexpr auto Faults = std::to_array<void (simulated_day::*)()>(
+      {&simulated_day::killVm, &simulated_day::powerOff, &simulated_day::pauseVm, &simulated_day::cutOneWay,
+       &simulated_day::cutPair, &simulated_day::cutDomain, &simulated_day::resetConnection,
+       &simulated_day::cutServer, &simulated_day::crashServer, &simulated_day::failServer,
+       &simulated_day::hangServer, &simulated_day::lagVm, &simulated_day::lagVm, &simulated_day::lagLink,
+       &simulated_day::restartVmsInTurn});
+  // Number of the last entries of Faults that need EnableLags.
+  static constexpr std::size_t LagFaultCount = 4;
 
   const simulation_options &Options;
   std::unique_ptr<runtime::manual_executor> Executor;
@@ -520,12 +528,12 @@
 
 } // namespace
 
-std::vector<job_kind> siteKinds() {
+std::vector<job_kind> siteJobKinds() {
   return {{"short", 0, 34.4, 8, 60, 27000, 0.0291},
           {"long", 2, 6.25, 4, 900, 27000, 0.16},
           {"middle", 1, 100, 2, 200, 27000, 0.01}};
 }
 
-simulation_result simulateFleet(const simulation_options &Options) { return random_day(Options).run(); }
+simulation_result simulateFleet(const simulation_options &Options) { return simulated_day(Options).run(); }
 
 } // namespace yuccaplank::simulation
--- a/src/yuccaplank/simulation/fleet_simulation.hpp
+++ b/src/yuccaplank/simulation/fleet_simulation.hpp
@@ -1,5 +1,6 @@
-// A fleet of entry VMs with backend servers, callers and a network in one process, on simulated time. Faults
-// come at random from a seed, and the promises are checked at every start of a task and at every answer.
+// Simulates a fleet of entry VMs with backend servers, callers and a network in one process, on simulated
+// time. Faults are random and derived from a seed. The invariants are checked at every start of a task and at
+// every answer.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +10,7 @@
 
 namespace yuccaplank::simulation {
 
-/// Jobs of one kind. Spreads are standard deviations of logarithms.
+/// Jobs of one kind. Tasks, TaskMs and TaskCpu are medians of log-normal distributions.
 struct job_kind {
   std::string Queue;
   std::uint32_t Priority = 0;
@@ -17,18 +18,19 @@
   double Tasks = 1;
   double TaskMs = 100;
   double TaskCpu = 27000;
-  /// Credit of a job of mean size within its objective; a fifth of it up to three times the objective.
-  double Worth = 1;
+  /// Credit for a job of mean size that completes within its objective. A job that takes up to three times
+  /// its objective earns a fifth of its credit, a later one nothing.
+  double MeanCredit = 1;
 };
 
-/// The three kinds of the users' two sites.
-std::vector<job_kind> siteKinds();
+/// Returns the three kinds of jobs of the users' two sites, with their ordinary rates.
+std::vector<job_kind> siteJobKinds();
 
-/// More jobs of one kind, or of all when Queue is empty, for a time.
+/// Multiplies the rate of one kind of jobs, or of all kinds when Queue is empty, for a time.
 struct load_burst {
   std::string Queue;
-  double AtSecond = 0;
-  double Seconds = 0;
+  double StartSecond = 0;
+  double DurationSeconds = 0;
   double Factor = 1;
 };
 
@@ -38,33 +40,33 @@
   std::uint32_t Vms = 4;
   std::uint32_t Servers = 6;
   std::uint32_t DispatchersPerDomain = 3;
-  /// Jobs a second of all callers together, of random sizes; without effect when kinds are given.
+  /// Rate of jobs of random sizes, of all callers together; has no effect when Kinds is not empty.
   double JobsPerSecond = 10;
   std::vector<job_kind> Kinds;
   std::vector<load_burst> Bursts;
-  /// Share of the servers that work SlowFactor times as long in the middle third of the day.
-  double SlowShare = 0;
-  double SlowFactor = 6;
-  /// Share of callers that leave early.
-  double LeavingShare = 0.05;
-  /// Length of the traffic; faults end a few seconds before its end.
-  double Seconds = 8;
-  /// Faults a second; 0 plays a calm day.
+  /// Share of the servers whose tasks take SlowdownFactor times as long in the middle third of the day.
+  double SlowServerShare = 0;
+  double SlowdownFactor = 6;
+  /// Share of callers of jobs of random sizes that leave early.
+  double LeavingCallerShare = 0.05;
+  /// Duration of the traffic. Faults occur in its first 60 % only.
+  double TrafficSeconds = 8;
+  /// Rate of faults; 0 simulates a fault-free day.
   double FaultsPerSecond = 2;
   /// Adds VMs and links that lag, rolling restarts, and VMs of unequal strength.
-  bool Lags = false;
-  /// Share of orders to servers that get no answer and are carried out 2 to 12 s later, or whose answer is
-  /// lost.
-  double LateOrders = 0.02;
-  double LostAnswers = 0.02;
-  /// Counts the messages between VMs while there is traffic.
+  bool EnableLags = false;
+  /// Share of orders to servers that are carried out 2 to 12 s late and get no answer.
+  double LateOrderShare = 0.02;
+  /// Share of orders to servers that are carried out in time but whose answer is lost.
+  double LostAnswerShare = 0.02;
+  /// Counts the messages between VMs during the traffic.
   bool CountMessages = false;
-  /// Prints what happens to standard error.
+  /// Prints each event to standard error.
   bool Trace = false;
 };
 
 struct simulation_result {
-  /// Broken promises, in the order of time; empty when all were kept.
+  /// Violations of invariants, in the order of time.
   std::vector<std::string> Violations;
   std::uint64_t Jobs = 0;
   std::uint64_t Completed = 0;
@@ -72,28 +74,31 @@
   std::uint64_t Resent = 0;
   std::uint64_t Starts = 0;
   std::uint64_t Faults = 0;
-  /// Of the jobs that came after the last fault had been over for some seconds.
-  std::uint64_t CalmJobs = 0;
-  std::uint64_t CalmCompleted = 0;
-  /// Credit earned and owed for jobs of kinds, by queue.
+  /// Jobs that were submitted more than 3 s after the end of the fault phase.
+  std::uint64_t JobsAfterFaults = 0;
+  std::uint64_t CompletedAfterFaults = 0;
+  /// Earned and attainable credit for jobs of one kind.
   struct credit {
     double Earned = 0;
-    double Owed = 0;
+    double Attainable = 0;
     std::uint64_t Jobs = 0;
     std::uint64_t InTime = 0;
+    /// Completed after the objective, but within three times the objective.
     std::uint64_t Late = 0;
     std::uint64_t Refused = 0;
+    /// Completed after three times the objective.
     std::uint64_t TooLate = 0;
   };
-  std::map<std::string, credit> Credit;
-  /// Messages that a VM sends in a second, in the mean and at most.
-  double MessagesOfVm = 0;
-  double MostMessagesOfVm = 0;
-  double MostBytesOfVm = 0;
-  /// Messages that the fleet sends in a second, by kind.
-  std::map<std::string, double> MessagesByKind;
+  std::map<std::string, credit> CreditByQueue;
+  /// Messages and bytes that a VM sends, as the mean and the maximum over all VMs.
+  double MeanVmMessagesPerSecond = 0;
+  double MaxVmMessagesPerSecond = 0;
+  double MaxVmBytesPerSecond = 0;
+  /// Messages that the whole fleet sends, by the name of the message's body.
+  std::map<std::string, double> MessagesPerSecondByKind;
 };
 
+/// Simulates one day.
 simulation_result simulateFleet(const simulation_options &Options);
 
 } // namespace yuccaplank::simulation
--- a/src/yuccaplank/simulation/fleet_simulation_test.cpp
+++ b/src/yuccaplank/simulation/fleet_simulation_test.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-void assertKept(const simulation_options &Options) {
+void assertNoViolations(const simulation_options &Options) {
   runtime::setLogLevel(runtime::log_level::Error);
   auto Result = simulateFleet(Options);
   runtime::setLogLevel(runtime::log_level::Info);
@@ -31,52 +31,53 @@
   Options.Domains = 4;
   Options.Servers = 48;
   Options.FaultsPerSecond = 0;
-  Options.LateOrders = 0;
-  Options.LostAnswers = 0;
-  Options.Seconds = Seconds;
-  Options.Kinds = simulation::siteKinds();
+  Options.LateOrderShare = 0;
+  Options.LostAnswerShare = 0;
+  Options.TrafficSeconds = Seconds;
+  Options.Kinds = simulation::siteJobKinds();
   return Options;
 }
 
-// Days on which a promise was broken once, with the cause.
-struct former_breach {
+// Days on which an earlier version violated an invariant, with the cause.
+struct former_violation {
   std::uint64_t Seed;
   const char *Cause;
 };
-constexpr auto FormerBreaches = std::to_array<former_breach>({
-    {842, "runs on a server that was born again were taken for gone"},
-    {1170, "a paused owner went on ordering a server that had forgotten its fence"},
+constexpr auto FormerViolations = std::to_array<former_violation>({
+    {842, "runs were assumed to be gone because their server had restarted"},
+    {1170, "a paused owner kept sending orders to a server that had lost its fence"},
     {1128, "a start was carried out under a later claim than that of its grant"},
-    {2043, "a claim was taken to concern a run that was ordered under it"},
+    {2043, "a claim was applied to a run that had been ordered under that claim"},
     {2113, "a resumed session orphaned runs that were being adopted"},
-    {804, "a lost VM's late message brought its servers back, without end"},
-    {5398, "an answer for one run of a server orphaned the others"},
+    {804, "a late message of a lost VM brought its servers back, over and over"},
+    {5398, "a server's answer about one run orphaned its other runs"},
 });
 
-// Guards against faults that were found once.
-const test_case Regressions("fleet simulation: days that broke a promise once", [] {
-  for (const former_breach &Violation : FormerBreaches) {
+// Guards against the return of faults that random days have found: each of these seeds led to two runs of a
+// task at a time, or to another violation, by the named cause.
+const test_case Regressions("fleet simulation: no violation on days that had one before", [] {
+  for (const former_violation &Violation : FormerViolations) {
     simulation_options Options;
     Options.Seed = Violation.Seed;
-    assertKept(Options);
+    assertNoViolations(Options);
   }
 });
 
-// Guards against two runs of a task at a time, starts beyond a server's room, starts after a refusal or a
-// cancel, and jobs without an answer, on days with kills, pauses, cuts, resets, and servers that crash, fail,
-// hang and answer late.
-const test_case Faults("fleet simulation: promises under faults", [] {
+// Guards against two runs of a task at a time, starts beyond a server's capacity, starts after a refusal or a
+// cancel, and jobs without an answer. VMs are killed and paused, links cut and connections reset; servers
+// crash, fail, hang and answer late.
+const test_case Faults("fleet simulation: no violation under faults", [] {
   constexpr std::uint64_t Days = 60;
   for (std::uint64_t Seed = 1; Seed <= Days; ++Seed) {
     simulation_options Options;
     Options.Seed = Seed;
-    assertKept(Options);
+    assertNoViolations(Options);
   }
 });
 
-// Guards against refusals and late answers while there is room: on a calm day 95 % of the jobs have to be
-// within their objective and at most 0.1 % refused.
-const test_case Calm("fleet simulation: a calm day", [] {
+// Guards against refusals and late answers while there is free capacity: on a fault-free day, 95 % of the
+// jobs have to meet their objective and at most 0.1 % may be refused.
+const test_case FaultFreeDay("fleet simulation: jobs meet their objectives on a fault-free day", [] {
   simulation_options Options = siteWithoutFaults(10);
   for (simulation::job_kind &Kind : Options.Kinds)
     Kind.JobsPerSecond *= 0.57;
@@ -84,43 +85,44 @@
   auto Result = simulateFleet(Options);
   runtime::setLogLevel(runtime::log_level::Info);
   std::uint64_t InTime = 0;
-  for (const auto &[Queue, Credit] : Result.Credit)
+  for (const auto &[Queue, Credit] : Result.CreditByQueue)
     InTime += Credit.InTime;
   CPPUNIT_ASSERT(static_cast<double>(InTime) >= 0.95 * static_cast<double>(Result.Jobs));
   CPPUNIT_ASSERT(static_cast<double>(Result.Refused) <= 0.001 * static_cast<double>(Result.Jobs));
 });
 
-// Guards against an order of service that loses more than the load explains. The marks are those of the
-// users' days of that kind: 0.47 of the credit on days with a burst, 0.5 with slow servers.
-const test_case Load("fleet simulation: bursts and slow servers", [] {
+// Guards against a placement order that loses more credit than the overload explains. The bounds are those of
+// the users' own days of the same kind: 0.47 of the credit on days with a burst, 0.5 on days with slow
+// servers.
+const test_case Overload("fleet simulation: credit on days with bursts or slow servers", [] {
   simulation_options Options = siteWithoutFaults(12);
   auto CreditShare = [&] {
     runtime::setLogLevel(runtime::log_level::Error);
     auto Result = simulateFleet(Options);
     runtime::setLogLevel(runtime::log_level::Info);
     double Earned = 0;
-    double Owed = 0;
-    for (const auto &[Queue, Credit] : Result.Credit) {
+    double Attainable = 0;
+    for (const auto &[Queue, Credit] : Result.CreditByQueue) {
       Earned += Credit.Earned;
-      Owed += Credit.Owed;
+      Attainable += Credit.Attainable;
     }
-    return Earned / Owed;
+    return Earned / Attainable;
   };
-  if (auto When = section("given a burst of all kinds")) {
+  if (auto When = section("given a burst of all kinds of jobs")) {
     Options.Bursts.push_back({"", 4, 4, 1.8});
     CPPUNIT_ASSERT(CreditShare() > 0.47);
   }
-  if (auto When = section("given a burst of the long kind")) {
+  if (auto When = section("given a burst of long jobs")) {
     Options.Bursts.push_back({"long", 4, 4, 1.8});
     CPPUNIT_ASSERT(CreditShare() > 0.47);
   }
-  if (auto When = section("given a sixth of the servers that are slow for a third of the day")) {
-    Options.SlowShare = 0.17;
+  if (auto When = section("given that a sixth of the servers are slow for a third of the day")) {
+    Options.SlowServerShare = 0.17;
     CPPUNIT_ASSERT(CreditShare() > 0.5);
   }
 });
 
-simulation_options calmFleet(std::uint32_t Vms) {
+simulation_options faultFreeFleet(std::uint32_t Vms) {
   simulation_options Options = siteWithoutFaults(1);
   Options.Vms = Vms;
   Options.Domains = 4;
@@ -130,19 +132,19 @@
   return Options;
 }
 
-// Guards against work of a VM that grows with the fleet: heartbeats between all VMs, and contact that ends
-// and begins again without end.
-const test_case Growth("fleet simulation: messages of a VM in a large fleet", [] {
+// Guards against message rates of a VM that grow with the fleet, because all VMs exchange heartbeats or
+// because contact is lost and regained over and over.
+const test_case MessageGrowth("fleet simulation: message rate of a VM in a large fleet", [] {
   runtime::setLogLevel(runtime::log_level::Error);
-  auto Small = simulateFleet(calmFleet(24));
-  auto Large = simulateFleet(calmFleet(96));
+  auto Small = simulateFleet(faultFreeFleet(24));
+  auto Large = simulateFleet(faultFreeFleet(96));
   runtime::setLogLevel(runtime::log_level::Info);
-  if (auto Then = section("the mean falls, since most VMs talk to three others"))
-    CPPUNIT_ASSERT(Large.MessagesOfVm < Small.MessagesOfVm);
-  if (auto Then = section("the most of one VM grows more slowly than the fleet"))
-    CPPUNIT_ASSERT(Large.MostMessagesOfVm < 2 * Small.MostMessagesOfVm);
-  if (auto Then = section("in a calm fleet no contact begins anew"))
-    CPPUNIT_ASSERT(!Large.MessagesByKind.contains("resume"));
+  if (auto Then = section("the mean falls, since most VMs communicate with three others only"))
+    CPPUNIT_ASSERT(Large.MeanVmMessagesPerSecond < Small.MeanVmMessagesPerSecond);
+  if (auto Then = section("the highest rate of a VM grows more slowly than the fleet"))
+    CPPUNIT_ASSERT(Large.MaxVmMessagesPerSecond < 2 * Small.MaxVmMessagesPerSecond);
+  if (auto Then = section("no contact is regained, since none is lost without faults"))
+    CPPUNIT_ASSERT(!Large.MessagesPerSecondByKind.contains("resume"));
 });
 
 simulation_options laggingFleet(std::uint32_t Vms, std::uint32_t DispatchersPerDomain, double Faults) {
@@ -151,61 +153,63 @@
   Options.Domains = 2;
   Options.DispatchersPerDomain = DispatchersPerDomain;
   Options.FaultsPerSecond = Faults;
-  Options.Lags = true;
+  Options.EnableLags = true;
   return Options;
 }
 
-// Days with lags on which a promise was broken once, with the cause.
-constexpr auto FormerBreachesOfRelays = std::to_array<former_breach>({
-    {11557, "a lagging VM took a job that had been passed on elsewhere"},
-    {12099, "the same, all tasks of the job"},
-    {101195, "the end of an earlier submission's run was taken for that of the present one"},
-    {101901, "a server that was born again took orders of two owners, in contact one way"},
-    {15001375, "the same, without contact"},
+// Days with lags on which an earlier version violated an invariant, with the cause.
+constexpr auto OneDispatcherViolations = std::to_array<former_violation>({
+    {11557, "a lagging VM accepted a job that had been passed on to another VM meanwhile"},
+    {12099, "the same, with all tasks of the job"},
+    {101195, "the end of a run of an earlier submission was taken for that of the current one"},
+    {101901, "a restarted server accepted orders of two owners that were in contact in one direction only"},
+    {15001375, "the same, with two owners that were not in contact"},
     {15002580, "the same, after a claim with a lower token"},
 });
-constexpr auto FormerBreachesOfTwo = std::to_array<former_breach>({
-    {21081, "runs were taken for gone under the longer lease of a former owner"},
-    {22224, "a lagging VM took a job that had been passed on elsewhere"},
-    {1200907, "a server that was born again took orders of two owners, after one that could not be sent"},
-    {25001430, "a job was refused as not run by a timer that had been cancelled"},
+constexpr auto TwoDispatcherViolations = std::to_array<former_violation>({
+    {21081, "runs were assumed to be gone while the longer lease of a former owner was valid"},
+    {22224, "a lagging VM accepted a job that had been passed on to another VM meanwhile"},
+    {1200907, "a restarted server accepted orders of two owners, after an order that could not be sent"},
+    {25001430, "a timer that had been cancelled refused a job as not run"},
 });
 
-// Guards against what is dealt with late, by a VM or a link, being taken for fresh.
-const test_case Lags("fleet simulation: VMs and links that lag, rolling restarts", [] {
+// Guards against messages and timers that are taken to be recent although a lagging VM or link has delayed
+// them, which leads to two runs of a task.
+const test_case Lags("fleet simulation: no violation with lagging VMs and links and rolling restarts", [] {
   constexpr std::uint64_t Days = 15;
-  simulation_options Relays = laggingFleet(8, 1, 2);
-  simulation_options Two = laggingFleet(7, 2, 3);
-  for (const former_breach &Violation : FormerBreachesOfRelays) {
-    Relays.Seed = Violation.Seed;
-    assertKept(Relays);
+  simulation_options OneDispatcher = laggingFleet(8, 1, 2);
+  simulation_options TwoDispatchers = laggingFleet(7, 2, 3);
+  for (const former_violation &Violation : OneDispatcherViolations) {
+    OneDispatcher.Seed = Violation.Seed;
+    assertNoViolations(OneDispatcher);
   }
-  for (const former_breach &Violation : FormerBreachesOfTwo) {
-    Two.Seed = Violation.Seed;
-    assertKept(Two);
+  for (const former_violation &Violation : TwoDispatcherViolations) {
+    TwoDispatchers.Seed = Violation.Seed;
+    assertNoViolations(TwoDispatchers);
   }
   simulation_options Small = laggingFleet(6, 3, 2);
   Small.Domains = 3;
   Small.Servers = 8;
-  // A server that was born again took orders of two owners, of which one waited for its answer.
+  // A restarted server accepted orders of two owners, one of which was waiting for the server's answer.
   Small.Seed = 87000614;
-  assertKept(Small);
+  assertNoViolations(Small);
   for (std::uint64_t Seed = 1; Seed <= Days; ++Seed) {
-    Relays.Seed = Seed;
-    assertKept(Relays);
-    Two.Seed = Seed;
-    assertKept(Two);
+    OneDispatcher.Seed = Seed;
+    assertNoViolations(OneDispatcher);
+    TwoDispatchers.Seed = Seed;
+    assertNoViolations(TwoDispatchers);
   }
 });
 
-// Guards against two runs at a time when jobs are passed from VM to VM.
-const test_case Relays("fleet simulation: most VMs relay", [] {
+// Guards against two runs of a task at a time that arise when relays pass a job from one dispatcher to
+// another.
+const test_case Relays("fleet simulation: no violation when most VMs relay", [] {
   simulation_options Options;
   Options.Vms = 7;
   Options.Domains = 2;
   Options.DispatchersPerDomain = 1;
   for (Options.Seed = 1; Options.Seed <= 20; ++Options.Seed)
-    assertKept(Options);
+    assertNoViolations(Options);
 });
 
 } // namespace
--- a/src/yuccaplank/simulation/network.cpp
+++ b/src/yuccaplank/simulation/network.cpp
@@ -9,28 +9,26 @@
 namespace {
 
 constexpr auto ConnectTimeout = std::chrono::milliseconds(500);
-// TCP gives up a stalled connection much later than the product's own limits; a closing end is heard at once
-// when the path is open.
 constexpr double MinDelayMs = 0.4;
 constexpr double MaxDelayMs = 1.2;
-constexpr double SlowShare = 0.02;
-constexpr double SlowDelayMs = 40;
+constexpr double SlowMessageShare = 0.02;
+constexpr double MaxSlowDelayMs = 40;
 
 } // namespace
 
-duration network::delay() {
+duration network::sampleDelay() {
   double Ms = MinDelayMs + Random.uniform() * (MaxDelayMs - MinDelayMs);
-  if (Random.uniform() < SlowShare)
-    Ms += Random.uniform() * SlowDelayMs;
+  if (Random.uniform() < SlowMessageShare)
+    Ms += Random.uniform() * MaxSlowDelayMs;
   return runtime::fromMs(Ms);
 }
 
 network::connection *network::find(const std::string &One, const std::string &Other) {
-  auto Found = Connections.find(pairOf(One, Other));
+  auto Found = Connections.find(connectionKey(One, Other));
   return Found == Connections.end() ? nullptr : &Found->second;
 }
 
-void network::count(const std::string &From, const schema::dispatch_message &Message) {
+void network::countMessage(const std::string &From, const schema::dispatch_message &Message) {
   const auto *Body = schema::dispatch_message::descriptor()->FindFieldByNumber(Message.body_case());
   std::uint64_t Bytes = Message.ByteSizeLong();
   for (message_count *Count : {&Counts->BySender[From], &Counts->ByKind[Body->name()]}) {
@@ -41,43 +39,44 @@
 
 void network::send(const std::string &From, const std::string &To, const schema::dispatch_message &Message) {
   if (Counts)
-    count(From, Message);
+    countMessage(From, Message);
   if (!find(From, To)) {
-    bool Refused = !Ends.contains(To) && !Dark.contains(To);
-    bool Unreachable = cut(From, To) || cut(To, From) || !Ends.contains(To);
+    bool Refused = !Endpoints.contains(To) && !PoweredOff.contains(To);
+    bool Unreachable = cut(From, To) || cut(To, From) || !Endpoints.contains(To);
     if (Unreachable) {
-      Executor.after(Refused && !cut(From, To) ? duration(delay() * 2) : duration(ConnectTimeout),
+      Executor.after(Refused && !cut(From, To) ? duration(sampleDelay() * 2) : duration(ConnectTimeout),
                      [this, From, To] {
-                       auto End = Ends.find(From);
-                       if (End != Ends.end() && !find(From, To))
-                         End->second.OnConnectFailed(To);
+                       auto Endpoint = Endpoints.find(From);
+                       if (Endpoint != Endpoints.end() && !find(From, To))
+                         Endpoint->second.OnConnectFailed(To);
                      });
       return;
     }
-    Connections[pairOf(From, To)].Id = ++LastConnection;
+    Connections[connectionKey(From, To)].Id = ++LastConnectionId;
   }
-  std::string Incarnation = Ends.at(From).Incarnation;
-  deliver(From, To, [this, From, To, Message, Incarnation] {
-    auto End = Ends.find(To);
-    if (End != Ends.end())
-      End->second.OnMessage(From, Incarnation, Message);
+  std::string Incarnation = Endpoints.at(From).Incarnation;
+  scheduleDelivery(From, To, [this, From, To, Message, Incarnation] {
+    auto Endpoint = Endpoints.find(To);
+    if (Endpoint != Endpoints.end())
+      Endpoint->second.OnMessage(From, Incarnation, Message);
   });
 }
 
-void network::deliver(const std::string &From, const std::string &To, std::function<void()> Function) {
+void network::scheduleDelivery(const std::string &From, const std::string &To,
+                               std::function<void()> Function) {
   connection &Connection = *find(From, To);
   auto &Last = Connection.LastDelivery[{From, To}];
   auto Extra = ExtraDelays.find({From, To});
-  Last = std::max(Last, Executor.clock().now() + delay() +
+  Last = std::max(Last, Executor.clock().now() + sampleDelay() +
                             (Extra == ExtraDelays.end() ? duration::zero() : Extra->second));
   Executor.after(Last - Executor.clock().now(),
                  [this, From, To, Id = Connection.Id, Function = std::move(Function)] {
-                   arrive(From, To, Id, Function);
+                   onArrival(From, To, Id, Function);
                  });
 }
 
-void network::arrive(const std::string &From, const std::string &To, std::uint64_t ConnectionId,
-                     const std::function<void()> &Function) {
+void network::onArrival(const std::string &From, const std::string &To, std::uint64_t ConnectionId,
+                        const std::function<void()> &Function) {
   connection *Connection = find(From, To);
   if (!Connection || Connection->Id != ConnectionId)
     return;
@@ -88,8 +87,8 @@
     Function();
 }
 
-void network::setExtraDelay(const std::string &From, const std::string &To, duration Time) {
-  ExtraDelays[{From, To}] = Time;
+void network::setExtraDelay(const std::string &From, const std::string &To, duration Delay) {
+  ExtraDelays[{From, To}] = Delay;
 }
 
 void network::disconnect(const std::string &From, const std::string &To) {
@@ -97,37 +96,37 @@
   if (!Connection)
     return;
   std::uint64_t Id = Connection->Id;
-  Connections.erase(pairOf(From, To));
-  tellClosed(To, From, Id);
+  Connections.erase(connectionKey(From, To));
+  notifyClosed(To, From, Id);
 }
 
-// The end hears of the close when the path to it is open.
-void network::tellClosed(const std::string &Vm, const std::string &Other, std::uint64_t ConnectionId) {
-  Executor.after(delay(), [this, Vm, Other, ConnectionId] {
-    auto End = Ends.find(Vm);
-    if (End == Ends.end())
+// Notifies a VM that its peer has closed the connection, as soon as the direction from the peer is not cut.
+void network::notifyClosed(const std::string &Vm, const std::string &Other, std::uint64_t ConnectionId) {
+  Executor.after(sampleDelay(), [this, Vm, Other, ConnectionId] {
+    auto Endpoint = Endpoints.find(Vm);
+    if (Endpoint == Endpoints.end())
       return;
     if (cut(Other, Vm)) {
-      tellClosed(Vm, Other, ConnectionId);
+      notifyClosed(Vm, Other, ConnectionId);
       return;
     }
     connection *Newer = find(Vm, Other);
     if (!Newer)
-      End->second.OnClosed(Other);
+      Endpoint->second.OnClosed(Other);
   });
 }
 
-void network::attach(const std::string &Vm, network_end End) {
+void network::attach(const std::string &Vm, network_endpoint Endpoint) {
   detach(Vm, false);
-  Ends[Vm] = std::move(End);
+  Endpoints[Vm] = std::move(Endpoint);
 }
 
-void network::detach(const std::string &Vm, bool Silent) {
-  Ends.erase(Vm);
-  if (Silent)
-    Dark.insert(Vm);
+void network::detach(const std::string &Vm, bool PowerLoss) {
+  Endpoints.erase(Vm);
+  if (PowerLoss)
+    PoweredOff.insert(Vm);
   else
-    Dark.erase(Vm);
+    PoweredOff.erase(Vm);
   std::vector<direction> Affected;
   for (const auto &[Pair, Connection] : Connections)
     if (Pair.first == Vm || Pair.second == Vm)
@@ -135,10 +134,10 @@
   for (const direction &Pair : Affected) {
     std::uint64_t Id = Connections.at(Pair).Id;
     const std::string &Other = Pair.first == Vm ? Pair.second : Pair.first;
-    if (Silent)
+    if (PowerLoss)
       continue;
     Connections.erase(Pair);
-    tellClosed(Other, Vm, Id);
+    notifyClosed(Other, Vm, Id);
   }
 }
 
--- a/src/yuccaplank/simulation/network.hpp
+++ b/src/yuccaplank/simulation/network.hpp
@@ -1,4 +1,5 @@
-// Connections between simulated VMs: ordered, stalled by cuts, broken by resets and deaths.
+// Network between simulated VMs. Its connections deliver messages in order, stall while a link is cut, and
+// break when they are reset or a VM ends.
 #pragma once
 
 #include "yuccaplank/dispatch/messages.hpp"
@@ -13,8 +14,8 @@
 
 namespace yuccaplank::simulation {
 
-/// Ends of a VM; called at delivery.
-struct network_end {
+/// Callbacks of a VM, which the network calls at delivery.
+struct network_endpoint {
   std::function<void(const std::string &From, const std::string &Incarnation,
                      const schema::dispatch_message &)>
       OnMessage;
@@ -28,38 +29,39 @@
   std::uint64_t Bytes = 0;
 };
 
-/// Messages that have been sent between VMs.
+/// Counts of the messages that VMs have sent to each other.
 struct message_totals {
   std::map<std::string, message_count> BySender;
-  /// By the name of the message's body.
+  /// Key: name of the message's body.
   std::map<std::string, message_count> ByKind;
 };
 
-/// VMs are named by their address.
+/// VMs are identified by their address. A stalled connection does not time out, since TCP gives up much later
+/// than the daemon does.
 class network {
 public:
   network(runtime::executor &Executor, runtime::random &Random) : Executor(Executor), Random(Random) {}
 
-  /// A process begins; connections of a former one at the same address are found broken.
-  void attach(const std::string &Vm, network_end End);
-  /// The process ends; with Silent nothing tells the others, as at a loss of power.
-  void detach(const std::string &Vm, bool Silent);
+  /// Adds a new process; connections of an earlier process at the same address are closed.
+  void attach(const std::string &Vm, network_endpoint Endpoint);
+  /// Removes a process; on a power loss, its peers are not notified.
+  void detach(const std::string &Vm, bool PowerLoss);
   void send(const std::string &From, const std::string &To, const schema::dispatch_message &Message);
   void disconnect(const std::string &From, const std::string &To);
-  /// A cut stalls what is under way; it arrives when the cut ends, unless the connection has been closed by
-  /// then.
+  /// Cuts or restores one direction. Messages in transit stall and are delivered when the cut ends, unless
+  /// the connection has been closed by then.
   void setCut(const std::string &From, const std::string &To, bool IsCut);
   [[nodiscard]] bool cut(const std::string &From, const std::string &To) const {
     return Cuts.contains({From, To});
   }
-  /// Messages in this direction take this much longer.
-  void setExtraDelay(const std::string &From, const std::string &To, runtime::duration Time);
-  /// Counts what is sent from now on; costs time in long simulations.
+  /// Adds a delay to messages in one direction.
+  void setExtraDelay(const std::string &From, const std::string &To, runtime::duration Delay);
+  /// Starts to count messages, which slows long simulations down.
   void countMessages() { Counts.emplace(); }
-  /// Empty unless messages are counted.
+  /// Returns an empty optional unless messages are counted.
   [[nodiscard]] const std::optional<message_totals> &counts() const { return Counts; }
-  /// Delay of one way.
-  runtime::duration delay();
+  /// Returns a random one-way delay.
+  runtime::duration sampleDelay();
 
 private:
   using direction = std::pair<std::string, std::string>;
@@ -68,24 +70,24 @@
     std::map<direction, runtime::time_point> LastDelivery;
     std::map<direction, std::vector<std::function<void()>>> Stalled;
   };
-  static direction pairOf(const std::string &One, const std::string &Other) {
+  static direction connectionKey(const std::string &One, const std::string &Other) {
     return One < Other ? direction{One, Other} : direction{Other, One};
   }
-  void count(const std::string &From, const schema::dispatch_message &Message);
+  void countMessage(const std::string &From, const schema::dispatch_message &Message);
   connection *find(const std::string &One, const std::string &Other);
-  void deliver(const std::string &From, const std::string &To, std::function<void()> Function);
-  void arrive(const std::string &From, const std::string &To, std::uint64_t Connection,
-              const std::function<void()> &Function);
-  void tellClosed(const std::string &Vm, const std::string &Other, std::uint64_t Connection);
+  void scheduleDelivery(const std::string &From, const std::string &To, std::function<void()> Function);
+  void onArrival(const std::string &From, const std::string &To, std::uint64_t Connection,
+                 const std::function<void()> &Function);
+  void notifyClosed(const std::string &Vm, const std::string &Other, std::uint64_t Connection);
 
   runtime::executor &Executor;
   runtime::random &Random;
-  std::map<std::string, network_end> Ends;
-  std::set<std::string> Dark;
+  std::map<std::string, network_endpoint> Endpoints;
+  std::set<std::string> PoweredOff;
   std::map<direction, connection> Connections;
   std::set<direction> Cuts;
   std::map<direction, runtime::duration> ExtraDelays;
-  std::uint64_t LastConnection = 0;
+  std::uint64_t LastConnectionId = 0;
   std::optional<message_totals> Counts;
 };
 
--- a/src/yuccaplank/simulation/simulated_fleet.cpp
+++ b/src/yuccaplank/simulation/simulated_fleet.cpp
@@ -7,29 +7,29 @@
 namespace yuccaplank::simulation {
 namespace {
 
-// After a longer pause a VM gives up its roles, as its process does.
+// A VM gives up its roles after a longer pause, as the daemon does.
 constexpr auto PauseLimit = std::chrono::milliseconds(450);
 constexpr std::uint32_t EqualStrength = 1000;
-// Of VMs of unequal strength.
-constexpr auto Strengths = std::to_array<std::uint32_t>({90, 250, 500});
-
-network_end makeEnd(simulated_vm &Life, std::string Incarnation) {
-  network_end End;
-  End.Incarnation = std::move(Incarnation);
-  End.OnMessage = [&Life](const std::string &From, const std::string &Sender,
-                          const schema::dispatch_message &Message) {
-    Life.Executor.guard([&Life, From, Sender, Message] { Life.Vm->onMessage(From, Sender, Message); })();
+constexpr auto UnequalStrengths = std::to_array<std::uint32_t>({90, 250, 500});
+
+network_endpoint makeEndpoint(simulated_vm &Process, std::string Incarnation) {
+  network_endpoint Endpoint;
+  Endpoint.Incarnation = std::move(Incarnation);
+  Endpoint.OnMessage = [&Process](const std::string &From, const std::string &Sender,
+                                  const schema::dispatch_message &Message) {
+    Process.Executor.guard(
+        [&Process, From, Sender, Message] { Process.Vm->onMessage(From, Sender, Message); })();
   };
-  End.OnClosed = [&Life](const std::string &Vm) {
-    Life.Executor.guard([&Life, Vm] { Life.Vm->onClosed(Vm); })();
+  Endpoint.OnClosed = [&Process](const std::string &Vm) {
+    Process.Executor.guard([&Process, Vm] { Process.Vm->onClosed(Vm); })();
   };
-  End.OnConnectFailed = [&Life](const std::string &Address) {
-    Life.Executor.guard([&Life, Address] { Life.Vm->onConnectFailed(Address); })();
+  Endpoint.OnConnectFailed = [&Process](const std::string &Address) {
+    Process.Executor.guard([&Process, Address] { Process.Vm->onConnectFailed(Address); })();
   };
-  return End;
+  return Endpoint;
 }
 
-std::uint32_t indexOf(const std::string &VmName) {
+std::uint32_t parseVmIndex(const std::string &VmName) {
   return static_cast<std::uint32_t>(std::stoul(VmName.substr(2)));
 }
 
@@ -38,9 +38,10 @@
 simulated_vm::simulated_vm(runtime::executor &Executor, network &Network, simulated_servers &Servers,
                            std::string Name, answer_function OnAnswer)
     : Executor(Executor), Network(Network), Name(std::move(Name)),
-      Orders(Servers.ordersOf(this->Name, this->Executor)), OnAnswer(std::move(OnAnswer)), Servers(Servers) {}
+      Orders(Servers.makeOrders(this->Name, this->Executor)), OnAnswer(std::move(OnAnswer)),
+      Servers(Servers) {}
 
-void simulated_vm::begin(dispatch::entry_vm_options Options) {
+void simulated_vm::start(dispatch::entry_vm_options Options) {
   Vm = dispatch::makeEntryVm(Executor, *this, std::move(Options));
 }
 
@@ -52,7 +53,7 @@
   Vm->setServers(Needed ? Servers.entries() : std::vector<dispatch::server_entry>());
 }
 
-// The document of a simulated configuration is its version.
+// The document of a simulated configuration consists of its version only.
 void simulated_vm::onConfigurationOffered(const schema::configuration_copy &Copy) {
   dispatch::configuration Configuration = *Vm->current();
   Configuration.Version = Copy.version();
@@ -68,7 +69,8 @@
 std::string simulated_fleet::vmName(std::uint32_t Index) { return fmt::format("vm{}", Index); }
 
 std::uint32_t simulated_fleet::strengthOf(std::uint32_t Index) const {
-  return Layout.EqualVms ? EqualStrength : Strengths.at(Index / Layout.Domains % Strengths.size());
+  return Layout.EqualVms ? EqualStrength
+                         : UnequalStrengths.at(Index / Layout.Domains % UnequalStrengths.size());
 }
 
 std::string simulated_fleet::domainOf(std::uint32_t Index) const {
@@ -92,7 +94,7 @@
   for (std::uint32_t Index = 0; Index < Layout.Servers; ++Index) {
     dispatch::server_entry Entry;
     Entry.Target = {fmt::format("s{}", Index), fmt::format("s{}", Index)};
-    Entry.Pool = Pool;
+    Entry.Pool = PoolName;
     Entry.Domain = domainOf(Index);
     Entry.Rack = fmt::format("r{}", Index / 2);
     Entry.Capacity.set_cpu(Random.uniform() < 0.3 ? 96000 : 64000);
@@ -109,60 +111,60 @@
   Slot = std::make_unique<simulated_vm>(
       Executor, Net, Servers, Name,
       [this, Name](std::uint64_t Job, const dispatch::job_answer &Answer) { OnAnswer(Name, Job, Answer); });
-  simulated_vm &Life = *Slot;
+  simulated_vm &Process = *Slot;
   dispatch::entry_vm_options VmOptions;
   VmOptions.Vm = Name;
   VmOptions.Address = Name;
-  // Like that of a process, unlike that of the former one.
+  // The clock origin differs from that of the former process, as in the daemon.
   VmOptions.View.ClockOrigin = static_cast<std::uint32_t>((LastRegistration + 1) * 1'000'003);
-  VmOptions.Domain = domainOf(indexOf(Name));
-  VmOptions.Strength = strengthOf(indexOf(Name));
+  VmOptions.Domain = domainOf(parseVmIndex(Name));
+  VmOptions.Strength = strengthOf(parseVmIndex(Name));
   VmOptions.Dispatching.PerDomain = Layout.DispatchersPerDomain;
-  Life.begin(VmOptions);
-  Net.attach(Name, makeEnd(Life, fmt::format("{}", ++LastRegistration)));
-  registerVm(Life, LastRegistration);
+  Process.start(VmOptions);
+  Net.attach(Name, makeEndpoint(Process, fmt::format("{}", ++LastRegistration)));
+  registerVm(Process, LastRegistration);
 }
 
-void simulated_fleet::configure(simulated_vm &Life, std::uint64_t Version) const {
+void simulated_fleet::configure(simulated_vm &Process, std::uint64_t Version) const {
   dispatch::configuration Configuration;
   Configuration.Version = Version;
   Configuration.Queues.push_back(makeQueue(QueueName, 0));
   for (const dispatch::queue_settings &Queue : Layout.Queues)
     Configuration.Queues.push_back(Queue);
-  Life.Vm->setConfiguration(Configuration, fmt::format("{}", Version));
+  Process.Vm->setConfiguration(Configuration, fmt::format("{}", Version));
 }
 
-void simulated_fleet::registerVm(simulated_vm &Life, std::uint64_t Registration) const {
-  configure(Life, 1);
+void simulated_fleet::registerVm(simulated_vm &Process, std::uint64_t Registration) const {
+  configure(Process, 1);
   dispatch::registered_vms Others;
   for (std::uint32_t Index = 0; Index < Layout.Vms; ++Index)
-    if (vmName(Index) != Life.Name)
+    if (vmName(Index) != Process.Name)
       Others[vmName(Index)] = {vmName(Index), domainOf(Index), strengthOf(Index)};
-  Life.Vm->setRegisteredVms(Others);
-  Life.Vm->setRegistration(Registration, true);
+  Process.Vm->setRegisteredVms(Others);
+  Process.Vm->setRegistration(Registration, true);
 }
 
-void simulated_fleet::endVm(const std::string &Name, bool Silent) {
+void simulated_fleet::endVm(const std::string &Name, bool PowerLoss) {
   Vms.at(Name)->Executor.end();
-  Net.detach(Name, Silent);
+  Net.detach(Name, PowerLoss);
 }
 
-void simulated_fleet::setExtraDelay(const std::string &From, const std::string &To, runtime::duration Time) {
-  Net.setExtraDelay(From, To, Time);
+void simulated_fleet::setExtraDelay(const std::string &From, const std::string &To, runtime::duration Delay) {
+  Net.setExtraDelay(From, To, Delay);
 }
 
 void simulated_fleet::pauseVm(const std::string &Name) {
-  simulated_vm &Life = vm(Name);
-  Life.Paused = true;
-  Life.Executor.pause();
+  simulated_vm &Process = vm(Name);
+  Process.Paused = true;
+  Process.Executor.pause();
 }
 
 void simulated_fleet::resumeVm(const std::string &Name) {
-  simulated_vm &Life = vm(Name);
-  Life.Paused = false;
-  Life.Executor.resume([&Life](runtime::duration Pause) {
+  simulated_vm &Process = vm(Name);
+  Process.Paused = false;
+  Process.Executor.resume([&Process](runtime::duration Pause) {
     if (Pause > PauseLimit)
-      Life.Vm->onPause();
+      Process.Vm->onPause();
   });
 }
 
@@ -170,7 +172,7 @@
   Net.setCut(From, To, IsCut);
 }
 
-void simulated_fleet::eachLinkOf(
+void simulated_fleet::forEachLink(
     const std::string &Domain,
     const std::function<void(const std::string &From, const std::string &To)> &Cut) const {
   auto BothWays = [&](const std::string &One, const std::string &Other) {
@@ -193,15 +195,16 @@
 
 void simulated_fleet::resetConnection(const std::string &One, const std::string &Other) {
   Net.disconnect(One, Other);
-  simulated_vm &Life = vm(One);
-  Executor.after(runtime::fromMs(1), Life.Executor.guard([&Life, Other] { Life.Vm->onClosed(Other); }));
+  simulated_vm &Process = vm(One);
+  Executor.after(runtime::fromMs(1),
+                 Process.Executor.guard([&Process, Other] { Process.Vm->onClosed(Other); }));
 }
 
 dispatch::queue_settings makeQueue(const std::string &Name, std::uint32_t Priority) {
   dispatch::queue_settings Queue;
   Queue.Name = Name;
   Queue.PathPrefix = Name;
-  Queue.Pool = Pool;
+  Queue.Pool = PoolName;
   Queue.Priority = Priority;
   Queue.MaxAttempts = 3;
   Queue.Stretch = 1.6;
--- a/src/yuccaplank/simulation/simulated_fleet.hpp
+++ b/src/yuccaplank/simulation/simulated_fleet.hpp
@@ -1,4 +1,4 @@
-// Entry VMs of a simulation with the network between them and their backend servers.
+// Entry VMs of a simulation, the network between them, and their backend servers.
 #pragma once
 
 #include "network.hpp"
@@ -15,17 +15,17 @@
 
 namespace yuccaplank::simulation {
 
-inline constexpr const char *Pool = "pool";
+inline constexpr const char *PoolName = "pool";
 inline constexpr const char *QueueName = "queue";
 
-/// Process of a VM; a new one for each start.
+/// Process of an entry VM. Each start of the VM creates a new one.
 class simulated_vm final : public dispatch::entry_vm_ports {
 public:
   using answer_function = std::function<void(std::uint64_t Job, const dispatch::job_answer &Answer)>;
 
   simulated_vm(runtime::executor &Executor, network &Network, simulated_servers &Servers, std::string Name,
                answer_function OnAnswer);
-  void begin(dispatch::entry_vm_options Options);
+  void start(dispatch::entry_vm_options Options);
 
   void send(const std::string &Vm, const std::string &Address, schema::dispatch_message Message) override;
   void disconnect(const std::string &Other) override {
@@ -56,14 +56,14 @@
   std::uint32_t Servers = 6;
   /// VMs of a domain that dispatch; the others relay.
   std::uint32_t DispatchersPerDomain = 3;
-  /// Queues beside QueueName.
+  /// Queues in addition to QueueName.
   std::vector<dispatch::queue_settings> Queues;
-  /// Whether all VMs are of one strength.
+  /// Whether all VMs have the same strength.
   bool EqualVms = true;
 };
 
-/// VMs "vm0", "vm1", … and servers "s0", "s1", … are spread over the domains "d0", "d1", … in turn; two
-/// servers share a rack.
+/// Fleet whose VMs "vm0", "vm1", … and servers "s0", "s1", … are assigned to the domains "d0", "d1", … in
+/// turn. Two servers share a rack.
 class simulated_fleet {
 public:
   using answer_function =
@@ -80,22 +80,22 @@
 
   /// Adds the servers and starts all VMs.
   void start();
-  /// A new process; what the former one had under way is void.
+  /// Starts a new process. Pending calls and messages of the former one have no effect any more.
   void startVm(const std::string &Name);
-  /// The process ends; Silent closes no connection.
-  void endVm(const std::string &Name, bool Silent);
+  /// Ends the process; a power loss closes no connection.
+  void endVm(const std::string &Name, bool PowerLoss);
   void pauseVm(const std::string &Name);
-  /// Messages from one VM to another take this much longer.
-  void setExtraDelay(const std::string &From, const std::string &To, runtime::duration Time);
+  /// Adds a delay to messages from one VM to another.
+  void setExtraDelay(const std::string &From, const std::string &To, runtime::duration Delay);
   void resumeVm(const std::string &Name);
-  /// Connections between the two VMs, or of a VM and the servers of a domain, pass nothing in this direction.
+  /// Cuts or restores one direction between two VMs, or between a VM and the servers of a domain.
   void setCut(const std::string &From, const std::string &To, bool IsCut);
-  /// All links between a domain and the rest, those to servers included; calls Cut for each.
-  void eachLinkOf(const std::string &Domain,
-                  const std::function<void(const std::string &From, const std::string &To)> &Cut) const;
+  /// Calls Cut for each direction of all links between a domain and the rest, including those to servers.
+  void forEachLink(const std::string &Domain,
+                   const std::function<void(const std::string &From, const std::string &To)> &Cut) const;
   void resetConnection(const std::string &One, const std::string &Other);
-  /// Puts a configuration into force on one VM, as if read from the store.
-  void configure(simulated_vm &Life, std::uint64_t Version) const;
+  /// Applies a configuration on one VM, as if it had read it from the store.
+  void configure(simulated_vm &Process, std::uint64_t Version) const;
 
   simulated_vm &vm(const std::string &Name) { return *Vms.at(Name); }
   [[nodiscard]] const fleet_layout &layout() const { return Layout; }
@@ -104,7 +104,7 @@
 
 private:
   void addServers();
-  void registerVm(simulated_vm &Life, std::uint64_t Registration) const;
+  void registerVm(simulated_vm &Process, std::uint64_t Registration) const;
 
   runtime::executor &Executor;
   runtime::random &Random;
@@ -113,12 +113,12 @@
   simulated_servers Servers;
   answer_function OnAnswer;
   std::map<std::string, std::unique_ptr<simulated_vm>> Vms;
-  // Processes that have ended; what they had under way refers to them.
+  // Processes that have ended; pending functions still refer to them.
   std::vector<std::unique_ptr<simulated_vm>> Ended;
   std::uint64_t LastRegistration = 0;
 };
 
-/// A queue of the pool with the stretch and latency of the users' sites.
+/// Returns a queue of the pool with the stretch and latency of the users' sites.
 dispatch::queue_settings makeQueue(const std::string &Name, std::uint32_t Priority);
 
 } // namespace yuccaplank::simulation
--- a/src/yuccaplank/simulation/simulated_servers.cpp
+++ b/src/yuccaplank/simulation/simulated_servers.cpp
@@ -9,39 +9,41 @@
 
 namespace {
 
+// Time that a VM waits for a reply, in addition to the waiting time of a hold.
 constexpr auto ReplyTimeout = std::chrono::milliseconds(250);
-constexpr double MinLateMs = 2000;
-constexpr double MaxLateMs = 12000;
-constexpr auto Hanging = std::chrono::hours(1);
+constexpr double MinLateDelayMs = 2000;
+constexpr double MaxLateDelayMs = 12000;
+// Run time of a task on a server that hangs; it has to exceed the simulated day.
+constexpr auto HangDuration = std::chrono::hours(1);
 
 } // namespace
 
-standin::run_work simulated_servers::workOf(const simulated_server &Server,
-                                            const std::string &Specification) {
+standin::run_work simulated_servers::makeWork(const simulated_server &Server,
+                                              const std::string &Specification) {
   standin::run_work Work = standin::decodeWork(Specification);
   Work.Time = runtime::fromMs(runtime::toMs(Work.Time) * Server.Slowness * Server.Slowdown);
   Work.Fails = Server.Failing;
   if (Server.Hanging)
-    Work.Time = Hanging;
+    Work.Time = HangDuration;
   return Work;
 }
 
-// One VM's calls to the servers.
+// Sends the orders of one VM to the servers.
 class simulated_servers::orders final : public dispatch::server_orders {
 public:
   orders(simulated_servers &Servers, std::string Vm, vm_executor &VmExecutor)
-      : All(Servers), Vm(std::move(Vm)), VmExecutor(VmExecutor) {}
+      : AllServers(Servers), Vm(std::move(Vm)), VmExecutor(VmExecutor) {}
 
   void start(const dispatch::server_target &Target, dispatch::start_order Order,
              std::function<void(order_reply)> OnDone) override {
     call<order_reply>(Target.Id, {}, std::move(OnDone), [this, Order](const std::string &Name, auto Reply) {
-      simulated_server &Server = All.Servers.at(Name);
-      runtime::time_point Now = All.Executor.clock().now();
-      bool Present = isRunning(Server, Order.Run);
-      auto Outcome = Server.State->start(Now, Order, All.workOf(Server, Order.Specification));
-      if (Outcome == order_outcome::Accepted && !Present)
-        All.OnStart(Name, Order.Run);
-      All.watch(Name);
+      simulated_server &Server = AllServers.Servers.at(Name);
+      runtime::time_point Now = AllServers.Executor.clock().now();
+      bool AlreadyRunning = isRunning(Server, Order.Run);
+      auto Outcome = Server.State->start(Now, Order, AllServers.makeWork(Server, Order.Specification));
+      if (Outcome == order_outcome::Accepted && !AlreadyRunning)
+        AllServers.OnStart(Name, Order.Run);
+      AllServers.scheduleAdvance(Name);
       Reply({Outcome, Server.State->clockMs(Now)});
     });
   }
@@ -50,33 +52,34 @@
             std::function<void(order_reply)> OnDone) override {
     call<order_reply>(Target.Id, {}, std::move(OnDone),
                       [this, Run, FencingToken](const std::string &Name, auto Reply) {
-                        simulated_server &Server = All.Servers.at(Name);
-                        runtime::time_point Now = All.Executor.clock().now();
+                        simulated_server &Server = AllServers.Servers.at(Name);
+                        runtime::time_point Now = AllServers.Executor.clock().now();
                         auto Outcome = Server.State->stop(Now, Run, FencingToken);
-                        All.watch(Name);
+                        AllServers.scheduleAdvance(Name);
                         Reply({Outcome, Server.State->clockMs(Now)});
                       });
   }
 
   void hold(const dispatch::server_target &Target, const dispatch::hold_order &Order,
             std::function<void(hold_reply)> OnDone) override {
-    call<hold_reply>(
-        Target.Id, Order.Wait, std::move(OnDone),
-        [this, Order](const std::string &Name, auto Reply) { All.serveHold(Name, Order, std::move(Reply)); });
+    call<hold_reply>(Target.Id, Order.Wait, std::move(OnDone),
+                     [this, Order](const std::string &Name, auto Reply) {
+                       AllServers.serveHold(Name, Order, std::move(Reply));
+                     });
   }
 
 private:
   static bool isRunning(const simulated_server &Server, const dispatch::run_key &Run) {
-    for (const dispatch::run_key &Each : Server.State->running())
-      if (Each == Run)
+    for (const dispatch::run_key &Running : Server.State->running())
+      if (Running == Run)
         return true;
     return false;
   }
 
-  [[nodiscard]] bool open(const std::string &Name) const {
-    const simulated_server &Server = All.Servers.at(Name);
-    return Server.State && !Server.Cut && !All.Network.cut(Vm, Server.Entry.Domain) &&
-           !All.Network.cut(Server.Entry.Domain, Vm);
+  [[nodiscard]] bool reachable(const std::string &Name) const {
+    const simulated_server &Server = AllServers.Servers.at(Name);
+    return Server.State && !Server.Cut && !AllServers.Network.cut(Vm, Server.Entry.Domain) &&
+           !AllServers.Network.cut(Server.Entry.Domain, Vm);
   }
 
   template <typename Reply>
@@ -87,24 +90,25 @@
       if (!std::exchange(*Done, true))
         OnDone(Value);
     };
-    if (!All.Servers.contains(Name) || !open(Name)) {
+    if (!AllServers.Servers.contains(Name) || !reachable(Name)) {
       Reply NotSent;
       NotSent.Outcome = order_outcome::NotSent;
       VmExecutor.after(ReplyTimeout, [Finish, NotSent] { Finish(NotSent); });
       return;
     }
     VmExecutor.after(Wait + ReplyTimeout, [Finish] { Finish(Reply{}); });
-    std::uint64_t Life = All.Servers.at(Name).Life;
-    bool IsLate = All.Random.uniform() < All.Options.LateOrders;
-    bool IsLost = All.Random.uniform() < All.Options.LostAnswers;
-    duration Delay = All.Network.delay();
+    std::uint64_t Incarnation = AllServers.Servers.at(Name).Incarnation;
+    bool IsLate = AllServers.Random.uniform() < AllServers.Options.LateOrderShare;
+    bool IsLost = AllServers.Random.uniform() < AllServers.Options.LostAnswerShare;
+    duration Delay = AllServers.Network.sampleDelay();
     if (IsLate)
-      Delay += runtime::fromMs(MinLateMs + All.Random.uniform() * (MaxLateMs - MinLateMs));
-    auto Arrive = [Servers = &All, VmName = Vm, Name, Life, Serve, Finish, IsLate, IsLost,
+      Delay +=
+          runtime::fromMs(MinLateDelayMs + AllServers.Random.uniform() * (MaxLateDelayMs - MinLateDelayMs));
+    auto Arrive = [Servers = &AllServers, VmName = Vm, Name, Incarnation, Serve, Finish, IsLate, IsLost,
                    Executor = &VmExecutor] {
       simulated_server &Server = Servers->Servers.at(Name);
-      // What a cut holds up arrives after it at the same life only.
-      if (!Server.State || Server.Life != Life)
+      // An order reaches only the incarnation of the server to which it was sent.
+      if (!Server.State || Server.Incarnation != Incarnation)
         return;
       bool Reachable = IsLate || (!Server.Cut && !Servers->Network.cut(VmName, Server.Entry.Domain));
       if (!Reachable)
@@ -113,14 +117,14 @@
                    Domain = Server.Entry.Domain](const Reply &Value) {
         if (IsLate || IsLost || Servers->Network.cut(Domain, VmName))
           return;
-        // The VM may have ended meanwhile; its executor then drops the reply.
-        Executor->after(Servers->Network.delay(), [Finish, Value] { Finish(Value); });
+        // The VM's executor drops the reply when the VM has ended meanwhile.
+        Executor->after(Servers->Network.sampleDelay(), [Finish, Value] { Finish(Value); });
       });
     };
-    VmExecutor.sendOut([this, Delay, Arrive] { All.Executor.after(Delay, Arrive); });
+    VmExecutor.sendOut([this, Delay, Arrive] { AllServers.Executor.after(Delay, Arrive); });
   }
 
-  simulated_servers &All;
+  simulated_servers &AllServers;
   std::string Vm;
   vm_executor &VmExecutor;
 };
@@ -140,8 +144,8 @@
   return Result;
 }
 
-std::unique_ptr<dispatch::server_orders> simulated_servers::ordersOf(const std::string &Vm,
-                                                                     vm_executor &VmExecutor) {
+std::unique_ptr<dispatch::server_orders> simulated_servers::makeOrders(const std::string &Vm,
+                                                                       vm_executor &VmExecutor) {
   return std::make_unique<orders>(*this, Vm, VmExecutor);
 }
 
@@ -149,7 +153,7 @@
   simulated_server &Server = Servers.at(Name);
   Server.State.reset();
   Server.Holds.clear();
-  ++Server.Life;
+  ++Server.Incarnation;
 }
 
 void simulated_servers::start(const std::string &Name) {
@@ -168,24 +172,25 @@
 void simulated_servers::serveHold(const std::string &Name, const dispatch::hold_order &Order,
                                   std::function<void(hold_reply)> Reply) {
   simulated_server &Server = Servers.at(Name);
-  hold_reply Now = Server.State->hold(Executor.clock().now(), Order);
-  watch(Name);
-  bool Waits = Now.Outcome == order_outcome::Accepted && Now.Ended.empty() && Order.Wait > duration::zero();
+  hold_reply Immediate = Server.State->hold(Executor.clock().now(), Order);
+  scheduleAdvance(Name);
+  bool Waits = Immediate.Outcome == order_outcome::Accepted && Immediate.Ended.empty() &&
+               Order.Wait > duration::zero();
   if (!Waits) {
-    Reply(Now);
+    Reply(Immediate);
     return;
   }
   std::uint64_t Id = ++LastHold;
   Server.Holds.push_back({Id, Order, std::move(Reply)});
   Executor.after(Order.Wait, [this, Name, Id] {
-    simulated_server &Later = Servers.at(Name);
-    for (auto Hold = Later.Holds.begin(); Hold != Later.Holds.end(); ++Hold)
+    simulated_server &HoldingServer = Servers.at(Name);
+    for (auto Hold = HoldingServer.Holds.begin(); Hold != HoldingServer.Holds.end(); ++Hold)
       if (Hold->Id == Id) {
-        waiting_hold Due = std::move(*Hold);
-        Later.Holds.erase(Hold);
-        dispatch::hold_order Look = Due.Order;
-        Look.LeaseEndMs.reset();
-        Due.Reply(Later.State->hold(Executor.clock().now(), Look));
+        pending_hold Due = std::move(*Hold);
+        HoldingServer.Holds.erase(Hold);
+        dispatch::hold_order OrderWithoutLease = Due.Order;
+        OrderWithoutLease.LeaseEndMs.reset();
+        Due.Reply(HoldingServer.State->hold(Executor.clock().now(), OrderWithoutLease));
         return;
       }
   });
@@ -195,31 +200,31 @@
   simulated_server &Server = Servers.at(Name);
   if (!Server.State || !Server.State->hasEnds())
     return;
-  std::vector<waiting_hold> Due;
+  std::vector<pending_hold> Due;
   Due.swap(Server.Holds);
-  for (waiting_hold &Hold : Due) {
+  for (pending_hold &Hold : Due) {
     Hold.Order.LeaseEndMs.reset();
     Hold.Reply(Server.State->hold(Executor.clock().now(), Hold.Order));
   }
 }
 
-// Lets the server's time pass when something is due there.
-void simulated_servers::watch(const std::string &Name) {
+// Advances the server's state to the current time when its next event is due.
+void simulated_servers::scheduleAdvance(const std::string &Name) {
   auto Due = Servers.at(Name).State->nextEvent();
   if (!Due)
     return;
-  std::uint64_t Life = Servers.at(Name).Life;
+  std::uint64_t Incarnation = Servers.at(Name).Incarnation;
   duration Delay = std::max(duration::zero(), *Due - Executor.clock().now());
-  Executor.after(Delay, [this, Name, Life] {
+  Executor.after(Delay, [this, Name, Incarnation] {
     simulated_server &Server = Servers.at(Name);
-    if (!Server.State || Server.Life != Life)
+    if (!Server.State || Server.Incarnation != Incarnation)
       return;
     Server.State->advance(Executor.clock().now());
     answerHolds(Name);
   });
 }
 
-std::vector<std::string> simulated_servers::running(const dispatch::task_key &Task) {
+std::vector<std::string> simulated_servers::serversRunning(const dispatch::task_key &Task) {
   std::vector<std::string> Result;
   for (auto &[Name, Server] : Servers) {
     if (!Server.State)
--- a/src/yuccaplank/simulation/simulated_servers.hpp
+++ b/src/yuccaplank/simulation/simulated_servers.hpp
@@ -1,4 +1,4 @@
-// Backend servers of a simulation: reachable or not, answering or not, and checked at every start.
+// Backend servers of a simulation, which can crash, hang, fail tasks, become slow, or be cut off.
 #pragma once
 
 #include "network.hpp"
@@ -19,29 +19,33 @@
 class simulated_servers {
 public:
   struct options {
-    double LateOrders = 0;
-    double LostAnswers = 0;
+    /// Share of orders that are carried out late and get no answer.
+    double LateOrderShare = 0;
+    /// Share of orders whose answer is lost.
+    double LostAnswerShare = 0;
   };
-  /// OnStart runs after each start that a server has carried out.
+  /// OnStart is called after each start that a server has carried out.
   simulated_servers(runtime::executor &Executor, network &Network, runtime::random &Random, options Options,
                     std::function<void(const std::string &Server, const dispatch::run_key &Run)> OnStart)
       : Executor(Executor), Network(Network), Random(Random), Options(Options), OnStart(std::move(OnStart)) {}
 
   void add(const dispatch::server_entry &Entry, double ClockRate, double Slowness);
-  /// Entries of the servers that are up or whose loss the platform has not noticed.
+  /// Returns the entries of all servers, including crashed ones: the simulated platform does not notice a
+  /// crash.
   [[nodiscard]] std::vector<dispatch::server_entry> entries() const;
-  /// Orders as sent by a VM. Callbacks run on the VM's executor.
-  std::unique_ptr<dispatch::server_orders> ordersOf(const std::string &Vm, vm_executor &VmExecutor);
+  /// Returns the interface through which a VM sends orders to the servers. Callbacks run on the VM's
+  /// executor.
+  std::unique_ptr<dispatch::server_orders> makeOrders(const std::string &Vm, vm_executor &VmExecutor);
 
   void crash(const std::string &Server);
   void start(const std::string &Server);
   void setCut(const std::string &Server, bool IsCut);
   void setFailing(const std::string &Server, bool IsFailing) { Servers.at(Server).Failing = IsFailing; }
-  void setSlow(const std::string &Server, double Factor) { Servers.at(Server).Slowdown = Factor; }
+  void setSlowdown(const std::string &Server, double Factor) { Servers.at(Server).Slowdown = Factor; }
   void setHanging(const std::string &Server, bool IsHanging) { Servers.at(Server).Hanging = IsHanging; }
 
-  /// Servers that are up and on which a run of the task works now.
-  [[nodiscard]] std::vector<std::string> running(const dispatch::task_key &Task);
+  /// Returns the servers on which the task runs now, one entry for each run.
+  [[nodiscard]] std::vector<std::string> serversRunning(const dispatch::task_key &Task);
   [[nodiscard]] std::uint32_t usedCpu(const std::string &Server);
   [[nodiscard]] std::uint32_t capacityCpu(const std::string &Server) const {
     return Servers.at(Server).Entry.Capacity.cpu();
@@ -49,7 +53,7 @@
   [[nodiscard]] std::vector<std::string> names() const;
 
 private:
-  struct waiting_hold {
+  struct pending_hold {
     std::uint64_t Id = 0;
     dispatch::hold_order Order;
     std::function<void(dispatch::hold_reply)> Reply;
@@ -63,16 +67,16 @@
     bool Cut = false;
     bool Failing = false;
     bool Hanging = false;
-    std::vector<waiting_hold> Holds;
-    std::uint64_t Life = 0;
+    std::vector<pending_hold> Holds;
+    std::uint64_t Incarnation = 0;
   };
   class orders;
 
-  static standin::run_work workOf(const simulated_server &Server, const std::string &Specification);
+  static standin::run_work makeWork(const simulated_server &Server, const std::string &Specification);
   void serveHold(const std::string &Name, const dispatch::hold_order &Order,
                  std::function<void(dispatch::hold_reply)> Reply);
   void answerHolds(const std::string &Name);
-  void watch(const std::string &Name);
+  void scheduleAdvance(const std::string &Name);
 
   runtime::executor &Executor;
   network &Network;
--- a/src/yuccaplank/testing/corpus.cpp
+++ b/src/yuccaplank/testing/corpus.cpp
@@ -19,7 +19,7 @@
 constexpr std::uint32_t MaxChanges = 4;
 constexpr std::uint32_t MaxRange = 40;
 
-// Pieces that lead a mutation to other paths of the reader.
+// Tokens whose insertion makes a mutation take other paths through the reader.
 constexpr auto Tokens = std::to_array<std::string_view>({"{",
                                                          "}",
                                                          "[",
@@ -51,7 +51,7 @@
   for (const auto &Entry :
        std::filesystem::directory_iterator(std::filesystem::path(YUCCAPLANK_SOURCE_DIR) / "fuzz" / Name))
     Files.push_back(Entry.path());
-  // The order of a directory differs between machines, the mutations must not.
+  // The order of directory entries differs between machines, but the mutations must not.
   std::sort(Files.begin(), Files.end());
   return Files;
 }
--- a/src/yuccaplank/testing/corpus.hpp
+++ b/src/yuccaplank/testing/corpus.hpp
@@ -1,4 +1,4 @@
-// Runs fuzz targets over the files of a corpus and mutations of them, the same in each run.
+// Runs fuzz targets on the files of a corpus and on reproducible mutations of them.
 #pragma once
 
 #include <cstddef>
@@ -7,7 +7,8 @@
 
 namespace yuccaplank::testing {
 
-/// Feeds each file of fuzz/Name and 3,000 mutations of it to Target, which returns 0 unless a rule is broken.
+/// Passes each file of fuzz/Name and 3,000 mutations of it to Target. The test fails unless Target returns 0
+/// each time.
 void fuzzCorpus(const std::string &Name, int (*Target)(const std::uint8_t *, std::size_t));
 
 } // namespace yuccaplank::testing
--- a/src/yuccaplank/testing/run_tests.cpp
+++ b/src/yuccaplank/testing/run_tests.cpp
@@ -1,4 +1,4 @@
-// Runs all tests, or those whose name contains the argument, and ends with "N passed, N failed".
+// Runs all tests, or those whose name contains the argument, and prints "N passed, N failed" at the end.
 #include <cppunit/BriefTestProgressListener.h>
 #include <cppunit/CompilerOutputter.h>
 #include <cppunit/TestResult.h>
--- a/src/yuccaplank/testing/scripted_http_client.cpp
+++ b/src/yuccaplank/testing/scripted_http_client.cpp
@@ -29,7 +29,7 @@
   return failure(runtime::errc::ConnectFailed, wire::transfer_stage::NothingWritten);
 }
 
-scripted_reply silence() {
+scripted_reply noReply() {
   scripted_reply Reply = failure(runtime::errc::RequestTimeout, wire::transfer_stage::MaybeWritten);
   Reply.Delay = runtime::duration::max();
   return Reply;
--- a/src/yuccaplank/testing/scripted_http_client.hpp
+++ b/src/yuccaplank/testing/scripted_http_client.hpp
@@ -1,4 +1,4 @@
-// HTTP client for tests that answers calls from a function, on any executor.
+// HTTP client for tests. A function supplies its replies, and it runs on any executor.
 #pragma once
 
 #include "yuccaplank/runtime/executor.hpp"
@@ -11,19 +11,19 @@
 
 namespace yuccaplank::testing {
 
-/// Reply of a scripted server, and the time it takes.
+/// Reply of a scripted server, and the delay until it arrives.
 struct scripted_reply {
   wire::http_call_result Result;
   runtime::duration Delay = std::chrono::milliseconds(1);
 };
 
 scripted_reply replyWith(int Status, std::string Body);
-/// The connection closed after the request was written.
+/// Reply to a call whose connection closes after the request has been written.
 scripted_reply lostConnection();
-/// No connection could be established.
+/// Reply to a call for which no connection can be established.
 scripted_reply refusedConnection();
-/// Nothing comes back until the call's timeout.
-scripted_reply silence();
+/// Reply to a call that receives nothing until its timeout.
+scripted_reply noReply();
 
 class scripted_http_client final : public wire::http_client {
 public:
@@ -36,9 +36,9 @@
   void abandon(wire::call_id Call) override { Abandoned.insert(Call); }
   [[nodiscard]] std::size_t connections(const std::string & /*Address*/) const override { return 0; }
 
-  /// All calls in order.
+  /// All calls, in order.
   std::vector<wire::http_call> Calls;
-  /// "PUT 127.0.0.1:1 /v1/jobs/a" of each call.
+  /// Returns one line for each call, such as "PUT 127.0.0.1:1 /v1/jobs/a".
   [[nodiscard]] std::vector<std::string> lines() const;
 
 private:
--- a/src/yuccaplank/testing/sockets.cpp
+++ b/src/yuccaplank/testing/sockets.cpp
@@ -19,8 +19,8 @@
 namespace yuccaplank::testing {
 namespace {
 
-constexpr auto Limit = 10s;
-constexpr auto CheckPeriod = 1ms;
+constexpr auto WaitTimeout = 10s;
+constexpr auto CheckInterval = 1ms;
 
 sockaddr_in loopback(std::uint16_t Port) {
   sockaddr_in Address{};
@@ -43,18 +43,18 @@
 } // namespace
 
 void runUntil(runtime::loop &Loop, const std::function<bool()> &Done) {
-  auto End = std::chrono::steady_clock::now() + Limit;
+  auto End = std::chrono::steady_clock::now() + WaitTimeout;
   bool Expired = false;
   std::function<void()> Check = [&] {
     Expired = std::chrono::steady_clock::now() >= End;
     if (Done() || Expired)
       Loop.stop();
     else
-      Loop.after(CheckPeriod, Check);
+      Loop.after(CheckInterval, Check);
   };
   Loop.post(Check);
   Loop.run();
-  CPPUNIT_ASSERT_MESSAGE("the condition holds in time", Done());
+  CPPUNIT_ASSERT_MESSAGE("the condition holds before the timeout", Done());
 }
 
 void runFor(runtime::loop &Loop, runtime::duration Time) {
@@ -63,7 +63,7 @@
 }
 
 raw_socket::raw_socket(int Fd) : Fd(Fd) {
-  timeval Timeout{std::chrono::seconds(Limit).count(), 0};
+  timeval Timeout{std::chrono::seconds(WaitTimeout).count(), 0};
   setsockopt(Fd, SOL_SOCKET, SO_RCVTIMEO, &Timeout, sizeof(Timeout));
 }
 raw_socket::raw_socket(raw_socket &&Other) noexcept : Fd(std::exchange(Other.Fd, -1)) {}
@@ -106,7 +106,7 @@
 }
 
 bool raw_socket::closedByPeer() const {
-  auto End = std::chrono::steady_clock::now() + Limit;
+  auto End = std::chrono::steady_clock::now() + WaitTimeout;
   std::array<char, 4096> Buffer{};
   ssize_t Count = 1;
   while (Count > 0 && std::chrono::steady_clock::now() < End)
@@ -148,8 +148,8 @@
 std::string scripted_server::address() const { return "127.0.0.1:" + std::to_string(Port); }
 
 void scripted_server::serve() {
-  std::vector<raw_socket> Idle;
-  std::vector<std::thread> Running;
+  std::vector<raw_socket> Unscripted;
+  std::vector<std::thread> ScriptThreads;
   while (!Stopping) {
     pollfd Poll{Listener.fd(), POLLIN, 0};
     if (poll(&Poll, 1, 10) <= 0)
@@ -157,12 +157,13 @@
     raw_socket Socket(accept(Listener.fd(), nullptr, nullptr));
     auto Index = static_cast<std::size_t>(Accepted++);
     if (Index < Scripts.size())
-      Running.emplace_back([Script = Scripts[Index], Own = std::move(Socket)]() mutable { Script(Own); });
+      ScriptThreads.emplace_back(
+          [Script = Scripts[Index], Connection = std::move(Socket)]() mutable { Script(Connection); });
     else
-      Idle.push_back(std::move(Socket));
+      Unscripted.push_back(std::move(Socket));
   }
-  for (std::thread &Each : Running)
-    Each.join();
+  for (std::thread &ScriptThread : ScriptThreads)
+    ScriptThread.join();
 }
 
 } // namespace yuccaplank::testing
--- a/src/yuccaplank/testing/sockets.hpp
+++ b/src/yuccaplank/testing/sockets.hpp
@@ -1,4 +1,4 @@
-// Blocking sockets and a loop that runs until a condition holds, for tests of network code.
+// Blocking sockets, scripted servers and functions that run a loop, for tests of network code.
 #pragma once
 
 #include "yuccaplank/runtime/loop.hpp"
@@ -14,12 +14,12 @@
 
 namespace yuccaplank::testing {
 
-/// Runs the loop until Done holds; fails the test when that takes longer than 10 s.
+/// Runs the loop until Done returns true; fails the test when that takes longer than 10 s.
 void runUntil(runtime::loop &Loop, const std::function<bool()> &Done);
-/// Runs the loop for a time.
+/// Runs the loop for the given duration.
 void runFor(runtime::loop &Loop, runtime::duration Time);
 
-/// Blocking TCP socket that closes itself; reads give up after 10 s.
+/// Blocking TCP socket whose destructor closes it; reads time out after 10 s.
 class raw_socket {
 public:
   explicit raw_socket(int Fd);
@@ -31,11 +31,13 @@
 
   [[nodiscard]] int fd() const { return Fd; }
   void send(std::string_view Text) const;
-  /// Reads until at least Bytes have arrived in total, or the connection has closed; returns what arrived.
+  /// Reads until Bytes bytes have arrived, the connection has closed, or the read has timed out; returns the
+  /// bytes that arrived.
   [[nodiscard]] std::string receive(std::size_t Bytes) const;
-  /// Reads one message with its Content-Length body; shorter when the connection closes first.
+  /// Reads one HTTP message with a body of Content-Length bytes; the result is truncated when the connection
+  /// closes first.
   [[nodiscard]] std::string receiveMessage() const;
-  /// Whether the peer closes the connection, after any bytes, within 10 s.
+  /// Discards received bytes until the peer closes the connection; returns whether it does so within 10 s.
   [[nodiscard]] bool closedByPeer() const;
   void close();
 
@@ -44,11 +46,11 @@
 };
 
 raw_socket connectTo(std::uint16_t Port);
-/// Listening socket on a free port of 127.0.0.1.
+/// Returns a listening socket on a free port of 127.0.0.1, and sets Port.
 raw_socket listenOn(int Backlog, std::uint16_t &Port);
 
-/// Server whose connections follow scripts: the n-th accepted connection runs the n-th script in a thread of
-/// its own. Further connections are accepted and left alone.
+/// Server that runs the n-th script on the n-th accepted connection, in a thread of its own. Further
+/// connections are accepted and stay idle.
 class scripted_server {
 public:
   using script = std::function<void(raw_socket &)>;
--- a/src/yuccaplank/testing/test_case.cpp
+++ b/src/yuccaplank/testing/test_case.cpp
@@ -13,18 +13,19 @@
 namespace yuccaplank::testing {
 namespace {
 
-// Progress of one test case through its sections. A section is done when it was entered and no section within
-// it is left. In each run one path from the outermost to an innermost section is entered.
-struct story_progress {
+// Progress of one test case through its sections. Each run of the body enters one path from an outermost to
+// an innermost section. A section is done when it has been entered and no section within it remains to be
+// entered.
+struct test_progress {
   std::set<std::string> Done;
   std::vector<std::string> Path;
-  // Whether a section was left in this run; sections that follow it wait for the next run.
-  bool LeafRun = false;
-  // Whether a section that is not done was passed over in this run.
+  // Whether this run has already left an innermost section; the sections that follow wait for the next run.
+  bool LeafDone = false;
+  // Whether this run has skipped a section that is not done.
   bool Skipped = false;
 };
 
-story_progress *Current = nullptr;
+test_progress *CurrentTest = nullptr;
 
 std::string joinPath(const std::vector<std::string> &Path) {
   std::string Joined;
@@ -33,25 +34,25 @@
   return Joined;
 }
 
-class story_case final : public CppUnit::TestCase {
+class sectioned_test final : public CppUnit::TestCase {
 public:
-  story_case(const std::string &Name, std::function<void()> Body)
+  sectioned_test(const std::string &Name, std::function<void()> Body)
       : CppUnit::TestCase(Name), Body(std::move(Body)) {}
 
   void runTest() override {
-    story_progress Progress;
-    Current = &Progress;
+    test_progress Progress;
+    CurrentTest = &Progress;
     do {
       Progress.Path.clear();
-      Progress.LeafRun = false;
+      Progress.LeafDone = false;
       Progress.Skipped = false;
       runOnce(Progress);
     } while (Progress.Skipped);
-    Current = nullptr;
+    CurrentTest = nullptr;
   }
 
 private:
-  void runOnce(story_progress &Progress) {
+  void runOnce(test_progress &Progress) {
     try {
       Body();
     } catch (CppUnit::Exception &Failure) {
@@ -65,11 +66,10 @@
   std::function<void()> Body;
 };
 
-class story_factory final : public CppUnit::TestFactory {
+class test_factory final : public CppUnit::TestFactory {
 public:
-  story_factory(std::string Name, std::function<void()> Body)
-      : Name(std::move(Name)), Body(std::move(Body)) {}
-  CppUnit::Test *makeTest() override { return new story_case(Name, Body); }
+  test_factory(std::string Name, std::function<void()> Body) : Name(std::move(Name)), Body(std::move(Body)) {}
+  CppUnit::Test *makeTest() override { return new sectioned_test(Name, Body); }
 
 private:
   std::string Name;
@@ -80,34 +80,34 @@
 
 test_case::test_case(std::string Name, std::function<void()> Body) {
   // The registry does not own its factories.
-  static std::vector<std::unique_ptr<story_factory>> Factories;
-  Factories.push_back(std::make_unique<story_factory>(std::move(Name), std::move(Body)));
+  static std::vector<std::unique_ptr<test_factory>> Factories;
+  Factories.push_back(std::make_unique<test_factory>(std::move(Name), std::move(Body)));
   CppUnit::TestFactoryRegistry::getRegistry().registerFactory(Factories.back().get());
 }
 
 section::section(std::string_view Name) : Entered(false) {
-  Current->Path.emplace_back(Name);
-  std::string Key = joinPath(Current->Path);
-  if (!Current->Done.contains(Key)) {
-    if (Current->LeafRun)
-      Current->Skipped = true;
+  CurrentTest->Path.emplace_back(Name);
+  std::string Key = joinPath(CurrentTest->Path);
+  if (!CurrentTest->Done.contains(Key)) {
+    if (CurrentTest->LeafDone)
+      CurrentTest->Skipped = true;
     else
       Entered = true;
   }
   if (!Entered)
-    Current->Path.pop_back();
+    CurrentTest->Path.pop_back();
 }
 
 section::~section() {
   if (!Entered)
     return;
-  // A failure keeps the path for its report.
+  // A failed assertion reports the path, so the path is kept.
   if (std::uncaught_exceptions() > 0)
     return;
-  if (!Current->Skipped)
-    Current->Done.insert(joinPath(Current->Path));
-  Current->LeafRun = true;
-  Current->Path.pop_back();
+  if (!CurrentTest->Skipped)
+    CurrentTest->Done.insert(joinPath(CurrentTest->Path));
+  CurrentTest->LeafDone = true;
+  CurrentTest->Path.pop_back();
 }
 
 } // namespace yuccaplank::testing
--- a/src/yuccaplank/testing/test_case.hpp
+++ b/src/yuccaplank/testing/test_case.hpp
@@ -1,4 +1,4 @@
-// Tests that read as a narrative: nested sections over CppUnit.
+// CppUnit tests with nested sections, such as given, when and then.
 #pragma once
 
 #include <cppunit/TestAssert.h>
@@ -9,8 +9,8 @@
 
 namespace yuccaplank::testing {
 
-/// A test. Its body runs once for every innermost section, each time from the start, so that sections do not
-/// share state:
+/// A test. Its body runs from the start once for every innermost section, so that sections do not share
+/// state:
 ///
 ///     const test_case Retention("job table: retention", [] {
 ///       auto Table = …;
@@ -24,7 +24,7 @@
   test_case(std::string Name, std::function<void()> Body);
 };
 
-/// A step of the running test case. It is entered when its turn has come.
+/// A section of the running test case. It converts to true in the run that enters it.
 class section {
 public:
   explicit section(std::string_view Name);
