--- a/src/yuccaplank/simulation/fleet_simulation.cpp
+++ b/src/yuccaplank/simulation/fleet_simulation.cpp
@@ -178,9 +178,9 @@
     Job.Request.Specification = standin::encodeWork({Job.Request.TaskSize.cpu(), fromMs(Ms), false});
     Job.Request.Deadline = fromMs(1800 + 3500 * Random.uniform());
     Job.Objective = fromMs(1.6 * Ms + 60);
-    double Work =
+    double RelativeWork =
         Job.Request.TaskCount * Ms * Job.Request.TaskSize.cpu() / (Kind.Tasks * Kind.TaskMs * Kind.TaskCpu);
-    Job.Credit = Kind.MeanCredit * std::min(4.0, 0.3 + 0.7 * Work);
+    Job.Credit = Kind.MeanCredit * std::min(4.0, 0.3 + 0.7 * RelativeWork);
     ++Result.Jobs;
     simulation_result::credit &Credit = Result.CreditByQueue[Kind.Queue];
     Credit.Attainable += Job.Credit;
@@ -193,13 +193,13 @@
     if (!Job.Kind)
       return;
     simulation_result::credit &Credit = Result.CreditByQueue[Job.Kind->Queue];
-    duration Took = Executor->clock().now() - Job.FirstSent + 2 * fromMs(CallerDelayMs);
+    duration Latency = Executor->clock().now() - Job.FirstSent + 2 * fromMs(CallerDelayMs);
     if (!Completed) {
       ++Credit.Refused;
-    } else if (Took <= Job.Objective) {
+    } else if (Latency <= Job.Objective) {
       Credit.Earned += Job.Credit;
       ++Credit.InTime;
-    } else if (Took <= 3 * Job.Objective) {
+    } else if (Latency <= 3 * Job.Objective) {
       Credit.Earned += Job.Credit * LateCreditShare;
       ++Credit.Late;
     } else {
@@ -219,8 +219,8 @@
   void submitRandomJob() {
     std::uint64_t Id = Random.next();
     simulated_job &Job = Jobs[Id];
-    constexpr auto Times = std::to_array({60.0, 200.0, 900.0});
-    double Ms = Times[Random.next() % Times.size()] * (0.6 + 0.8 * Random.uniform());
+    constexpr auto TaskMsChoices = std::to_array({60.0, 200.0, 900.0});
+    double Ms = TaskMsChoices[Random.next() % TaskMsChoices.size()] * (0.6 + 0.8 * Random.uniform());
     Job.Request.Job = Id;
     Job.Request.TaskCount = 1 + static_cast<std::uint32_t>(Random.next() % 4);
     Job.Request.TaskSize.set_cpu(20000 + static_cast<std::uint32_t>(Random.uniform() * 14000));
@@ -323,10 +323,10 @@
     simulated_job &Job = Jobs.at(Run.Task.Job);
     Job.EverStarted = true;
     trace(fmt::format("{} starts {}", Server, dispatch::format(Run)));
-    auto Where = Fleet.servers().serversRunning(Run.Task);
-    if (Where.size() > 1)
+    auto RunningServers = Fleet.servers().serversRunning(Run.Task);
+    if (RunningServers.size() > 1)
       addViolation(fmt::format("two runs of {} at the same time, on {}", dispatch::format(Run),
-                               fmt::join(Where, " and ")));
+                               fmt::join(RunningServers, " and ")));
     if (Fleet.servers().usedCpu(Server) > Fleet.servers().capacityCpu(Server))
       addViolation(fmt::format("{} is over its capacity", Server));
     if (Job.OpenAttempts == 0)
@@ -395,7 +395,7 @@
   }
 
   void cutLink(const std::string &From, const std::string &To, duration Duration) {
-    if (From == To || Fleet.net().cut(From, To))
+    if (From == To || Fleet.net().isCut(From, To))
       return;
     trace(fmt::format("{} to {} is cut for {} ms", From, To, runtime::toMs(Duration)));
     Fleet.setCut(From, To, true);
--- a/src/yuccaplank/simulation/fleet_simulation_test.cpp
+++ b/src/yuccaplank/simulation/fleet_simulation_test.cpp
@@ -24,7 +24,7 @@
   CPPUNIT_ASSERT_EQUAL(std::string(), First);
 }
 
-// The size and load of the users' sites.
+// Returns a fleet of the size and load of the users' sites.
 simulation_options siteWithoutFaults(double Seconds) {
   simulation_options Options;
   Options.Vms = 6;
@@ -108,15 +108,15 @@
     }
     return Earned / Attainable;
   };
-  if (auto When = section("given a burst of all kinds of jobs")) {
+  if (auto Given = section("given a burst of all kinds of jobs")) {
     Options.Bursts.push_back({"", 4, 4, 1.8});
     CPPUNIT_ASSERT(CreditShare() > 0.47);
   }
-  if (auto When = section("given a burst of long jobs")) {
+  if (auto Given = section("given a burst of long jobs")) {
     Options.Bursts.push_back({"long", 4, 4, 1.8});
     CPPUNIT_ASSERT(CreditShare() > 0.47);
   }
-  if (auto When = section("given that a sixth of the servers are slow for a third of the day")) {
+  if (auto Given = section("given that a sixth of the servers are slow for a third of the day")) {
     Options.SlowServerShare = 0.17;
     CPPUNIT_ASSERT(CreditShare() > 0.5);
   }
--- a/src/yuccaplank/simulation/network.cpp
+++ b/src/yuccaplank/simulation/network.cpp
@@ -42,9 +42,9 @@
     countMessage(From, Message);
   if (!find(From, To)) {
     bool Refused = !Endpoints.contains(To) && !PoweredOff.contains(To);
-    bool Unreachable = cut(From, To) || cut(To, From) || !Endpoints.contains(To);
+    bool Unreachable = isCut(From, To) || isCut(To, From) || !Endpoints.contains(To);
     if (Unreachable) {
-      Executor.after(Refused && !cut(From, To) ? duration(sampleDelay() * 2) : duration(ConnectTimeout),
+      Executor.after(Refused && !isCut(From, To) ? duration(sampleDelay() * 2) : duration(ConnectTimeout),
                      [this, From, To] {
                        auto Endpoint = Endpoints.find(From);
                        if (Endpoint != Endpoints.end() && !find(From, To))
@@ -81,7 +81,7 @@
   if (!Connection || Connection->Id != ConnectionId)
     return;
   auto &Stalled = Connection->Stalled[{From, To}];
-  if (cut(From, To) || !Stalled.empty())
+  if (isCut(From, To) || !Stalled.empty())
     Stalled.push_back(Function);
   else
     Function();
@@ -106,12 +106,12 @@
     auto Endpoint = Endpoints.find(Vm);
     if (Endpoint == Endpoints.end())
       return;
-    if (cut(Other, Vm)) {
+    if (isCut(Other, Vm)) {
       notifyClosed(Vm, Other, ConnectionId);
       return;
     }
-    connection *Newer = find(Vm, Other);
-    if (!Newer)
+    connection *NewerConnection = find(Vm, Other);
+    if (!NewerConnection)
       Endpoint->second.OnClosed(Other);
   });
 }
--- a/src/yuccaplank/simulation/network.hpp
+++ b/src/yuccaplank/simulation/network.hpp
@@ -51,7 +51,7 @@
   /// Cuts or restores one direction. Messages in transit stall and are delivered when the cut ends, unless
   /// the connection has been closed by then.
   void setCut(const std::string &From, const std::string &To, bool IsCut);
-  [[nodiscard]] bool cut(const std::string &From, const std::string &To) const {
+  [[nodiscard]] bool isCut(const std::string &From, const std::string &To) const {
     return Cuts.contains({From, To});
   }
   /// Adds a delay to messages in one direction.
@@ -75,6 +75,8 @@
   }
   void countMessage(const std::string &From, const schema::dispatch_message &Message);
   connection *find(const std::string &One, const std::string &Other);
+  // Calls Function when a message sent now arrives: after earlier messages in this direction, and not while
+  // it is cut or after the connection has been closed.
   void scheduleDelivery(const std::string &From, const std::string &To, std::function<void()> Function);
   void onArrival(const std::string &From, const std::string &To, std::uint64_t Connection,
                  const std::function<void()> &Function);
--- a/src/yuccaplank/simulation/simulated_servers.cpp
+++ b/src/yuccaplank/simulation/simulated_servers.cpp
@@ -78,8 +78,8 @@
 
   [[nodiscard]] bool reachable(const std::string &Name) const {
     const simulated_server &Server = AllServers.Servers.at(Name);
-    return Server.State && !Server.Cut && !AllServers.Network.cut(Vm, Server.Entry.Domain) &&
-           !AllServers.Network.cut(Server.Entry.Domain, Vm);
+    return Server.State && !Server.Cut && !AllServers.Network.isCut(Vm, Server.Entry.Domain) &&
+           !AllServers.Network.isCut(Server.Entry.Domain, Vm);
   }
 
   template <typename Reply>
@@ -110,12 +110,12 @@
       // An order reaches only the incarnation of the server to which it was sent.
       if (!Server.State || Server.Incarnation != Incarnation)
         return;
-      bool Reachable = IsLate || (!Server.Cut && !Servers->Network.cut(VmName, Server.Entry.Domain));
+      bool Reachable = IsLate || (!Server.Cut && !Servers->Network.isCut(VmName, Server.Entry.Domain));
       if (!Reachable)
         return;
       Serve(Name, [Servers, Finish, IsLate, IsLost, Executor, VmName,
                    Domain = Server.Entry.Domain](const Reply &Value) {
-        if (IsLate || IsLost || Servers->Network.cut(Domain, VmName))
+        if (IsLate || IsLost || Servers->Network.isCut(Domain, VmName))
           return;
         // The VM's executor drops the reply when the VM has ended meanwhile.
         Executor->after(Servers->Network.sampleDelay(), [Finish, Value] { Finish(Value); });
--- a/src/yuccaplank/simulation/simulated_servers.hpp
+++ b/src/yuccaplank/simulation/simulated_servers.hpp
@@ -62,6 +62,7 @@
     dispatch::server_entry Entry;
     std::unique_ptr<standin::task_server> State;
     double ClockRate = 1;
+    // Factors of the run times: a permanent and a temporary one.
     double Slowness = 1;
     double Slowdown = 1;
     bool Cut = false;
@@ -75,6 +76,7 @@
   static standin::run_work makeWork(const simulated_server &Server, const std::string &Specification);
   void serveHold(const std::string &Name, const dispatch::hold_order &Order,
                  std::function<void(dispatch::hold_reply)> Reply);
+  // Answers the waiting holds if runs have ended.
   void answerHolds(const std::string &Name);
   void scheduleAdvance(const std::string &Name);
 
--- a/src/yuccaplank/simulation/vm_executor.hpp
+++ b/src/yuccaplank/simulation/vm_executor.hpp
@@ -69,6 +69,7 @@
   [[nodiscard]] bool alive() const { return Alive; }
 
 private:
+  // Wraps a function so that it waits for the end of a pause, and does not run after the VM's end.
   std::function<void()> holdWhilePaused(std::function<void()> Function) {
     return [this, Function = std::move(Function)] {
       if (!Alive)
--- a/src/yuccaplank/testing/cli_run.cpp
+++ b/src/yuccaplank/testing/cli_run.cpp
@@ -17,7 +17,7 @@
     Files[File] = Text;
     return BOOST_OUTCOME_V2_NAMESPACE::success();
   };
-  Console.ErrorIsTerminal = Terminal;
+  Console.ErrorIsTerminal = ErrorIsTerminal;
   cli::requester Requester(*Executor, Client,
                            {[this] { Executor->advance(std::chrono::milliseconds(1)); }, [] {}});
   auto Variable = [this](const std::string &Name) {
--- a/src/yuccaplank/testing/cli_run.hpp
+++ b/src/yuccaplank/testing/cli_run.hpp
@@ -21,8 +21,8 @@
   std::map<std::string, std::string> Environment;
   std::string Out;
   std::string Err;
-  /// Whether the tool finds that its standard error is a terminal.
-  bool Terminal = false;
+  /// Whether the tool assumes that its standard error is a terminal.
+  bool ErrorIsTerminal = false;
   std::unique_ptr<runtime::manual_executor> Executor = runtime::makeManualExecutor();
   scripted_http_client Client;
 };
