--- a/src/yuccaplank/entry/directory_test.cpp
+++ b/src/yuccaplank/entry/directory_test.cpp
@@ -1,6 +1,6 @@
 #include "directory.hpp"
-#include "yuccaplank/testing/no_orders.hpp"
 #include "yuccaplank/testing/test_case.hpp"
+#include "yuccaplank/testing/unanswered_orders.hpp"
 
 #include <cppunit/TestAssert.h>
 
@@ -67,7 +67,7 @@
 struct vm final : dispatch::entry_vm_ports {
   std::unique_ptr<runtime::manual_executor> Executor = runtime::makeManualExecutor();
   store Store;
-  testing::no_orders Orders;
+  testing::unanswered_orders Orders;
   std::vector<std::string> Contacted;
   std::unique_ptr<dispatch::entry_vm> Entry;
   std::unique_ptr<directory> Directory;
--- a/src/yuccaplank/entry/frontend_test.cpp
+++ b/src/yuccaplank/entry/frontend_test.cpp
@@ -1,6 +1,6 @@
 #include "frontend.hpp"
-#include "yuccaplank/testing/no_orders.hpp"
 #include "yuccaplank/testing/test_case.hpp"
+#include "yuccaplank/testing/unanswered_orders.hpp"
 
 #include <cppunit/TestAssert.h>
 
@@ -20,7 +20,7 @@
 // An entry VM without others and without servers.
 struct vm final : dispatch::entry_vm_ports {
   std::unique_ptr<runtime::manual_executor> Executor = runtime::makeManualExecutor();
-  testing::no_orders Orders;
+  testing::unanswered_orders Orders;
   std::map<wire::request_token, wire::http_reply> Replies;
   std::unique_ptr<dispatch::entry_vm> Entry;
   std::unique_ptr<frontend> Frontend;
--- a/src/yuccaplank/testing/no_orders.hpp
+++ b/src/yuccaplank/testing/unanswered_orders.hpp
@@ -5,7 +5,7 @@
 
 namespace yuccaplank::testing {
 
-struct no_orders final : dispatch::server_orders {
+struct unanswered_orders final : dispatch::server_orders {
   void start(const dispatch::server_target &, dispatch::start_order,
              std::function<void(dispatch::order_reply)>) override {}
   void stop(const dispatch::server_target &, const dispatch::run_key &, std::uint64_t,
