--- a/src/yuccaplank/scenario/world.cpp
+++ b/src/yuccaplank/scenario/world.cpp
@@ -102,7 +102,7 @@
   Submissions.push_back(std::move(Record));
   if (Process.Executor.alive())
     Process.Executor.guard([&Process, Queue, Request] {
-      Process.Vm->jobs().submit(*Process.Vm->current()->find("", Queue), Request);
+      Process.Vm->jobs().submit(*Process.Vm->current()->findQueue("", Queue), Request);
     })();
   return Submissions.size() - 1;
 }
