--- a/include/yuccaplank/wire/http_client.hpp
+++ b/include/yuccaplank/wire/http_client.hpp
@@ -70,7 +70,7 @@
   /// OnDone runs exactly once, never from within call(), unless the call is abandoned.
   virtual call_id call(http_call Call, std::function<void(http_call_result)> OnDone) = 0;
   /// Closes the connection of a call and drops its callback.
-  virtual void abandon(call_id Call) = 0;
+  virtual void cancel(call_id Call) = 0;
   /// Open connections to an address, idle ones included.
   [[nodiscard]] virtual std::size_t connections(const std::string &Address) const = 0;
 };
--- a/include/yuccaplank/wire/http_server.hpp
+++ b/include/yuccaplank/wire/http_server.hpp
@@ -65,7 +65,7 @@
   /// Sends the reply of a request; at most one per token.
   virtual void reply(request_token Token, http_reply Reply) = 0;
   /// Closes the connection of a request without a reply; OnClosed is not called.
-  virtual void drop(request_token Token) = 0;
+  virtual void closeWithoutReply(request_token Token) = 0;
   /// Port on which the server listens.
   [[nodiscard]] virtual std::uint16_t port() const = 0;
   /// Stops accepting connections; requests in progress are still answered, then connections close.
--- a/src/yuccaplank/entry/fleet_test.cpp
+++ b/src/yuccaplank/entry/fleet_test.cpp
@@ -62,7 +62,7 @@
     Options.FirstWorkerPort = freePort();
     for (std::uint32_t Index = 1; Index < Options.Workers; ++Index)
       freePort();
-    Options.Heartbeat = milliseconds(100);
+    Options.HeartbeatInterval = milliseconds(100);
     auto Made = standin::makeSite(*Loop, Options);
     CPPUNIT_ASSERT(Made);
     Site = std::move(Made.value());
--- a/src/yuccaplank/load/load_run.cpp
+++ b/src/yuccaplank/load/load_run.cpp
@@ -19,17 +19,17 @@
 using runtime::time_point;
 
 // Callers send a job again this long after a lost answer.
-constexpr double ResendMs = 1300;
-constexpr double UnreachableMs = 100;
+constexpr double ResendDelayMs = 1300;
+constexpr double UnreachableRetryDelayMs = 100;
 // Callers wait a little longer than they say, and give a job up some seconds after its deadline.
-constexpr double AnswerSlackMs = 1000;
-constexpr double GiveUpMs = 4000;
+constexpr double TimeoutSlackMs = 1000;
+constexpr double GiveUpDelayMs = 4000;
 constexpr double Stretch = 1.6;
 constexpr double ObjectiveMs = 60;
 constexpr double ThousandthsOfCore = 1000;
 constexpr auto CheckTimeout = std::chrono::seconds(30);
-constexpr std::size_t MaxChecksAtOnce = 16;
-constexpr int BreachStatus = 3;
+constexpr std::size_t MaxConcurrentChecks = 16;
+constexpr int ViolationStatus = 3;
 constexpr int IncompleteStatus = 1;
 
 struct offered_job {
@@ -66,7 +66,7 @@
 
   [[nodiscard]] int exitStatus() const override {
     if (!Result.violations().empty())
-      return BreachStatus;
+      return ViolationStatus;
     return CheckErrors == 0 && Result.attempts() > 0 ? 0 : IncompleteStatus;
   }
 
@@ -84,15 +84,15 @@
     Executor.after(fromMs(GapMs), [this] {
       if (Stopping)
         return;
-      offer();
+      submitNewJob();
       scheduleArrival();
     });
   }
 
-  void offer() {
+  void submitNewJob() {
     std::uint64_t Id = Random.next();
     offered_job &Offered = Jobs[Id];
-    Offered.WorkMs = Options.TaskMs * logNormal(Options.TaskSpread);
+    Offered.WorkMs = Options.MeanTaskMs * logNormal(Options.TaskSpread);
     platform::caller_job &Job = Offered.Job;
     Job.Id = Id;
     Job.TaskCount = Options.MinTasks +
@@ -103,15 +103,15 @@
     Job.Specification = standin::encodeWork({Job.TaskSize.cpu(), fromMs(Offered.WorkMs), false});
     Job.DeadlineMs = Options.DeadlineMs;
     Offered.FirstSent = now();
-    Offered.GiveUpAt = now() + fromMs(Options.DeadlineMs + GiveUpMs);
-    attempt(Id);
+    Offered.GiveUpAt = now() + fromMs(Options.DeadlineMs + GiveUpDelayMs);
+    sendAttempt(Id);
     if (Random.uniform() * 100 < Options.LeavePercent)
-      Executor.after(fromMs(Offered.WorkMs * Random.uniform()), [this, Id] { leave(Id); });
+      Executor.after(fromMs(Offered.WorkMs * Random.uniform()), [this, Id] { disconnectCaller(Id); });
     if (Random.uniform() * 100 < Options.CancelPercent)
       Executor.after(fromMs(Offered.WorkMs * Random.uniform()), [this, Id] { cancel(Id); });
   }
 
-  void attempt(std::uint64_t Id) {
+  void sendAttempt(std::uint64_t Id) {
     auto Found = Jobs.find(Id);
     if (Found == Jobs.end())
       return;
@@ -119,7 +119,7 @@
     ++Offered.OpenAttempts;
     Result.addAttempt();
     wire::http_call Call = makeSubmitCall(randomEntry(), {Options.Host, Options.Path}, Offered.Job);
-    Call.Timeout = fromMs(Options.DeadlineMs + AnswerSlackMs);
+    Call.Timeout = fromMs(Options.DeadlineMs + TimeoutSlackMs);
     Offered.Call =
         Client.call(std::move(Call), [this, Id](const wire::http_call_result &Reply) { onReply(Id, Reply); });
   }
@@ -132,45 +132,45 @@
     if (NothingWritten)
       --Offered.OpenAttempts;
     if (Answer.Outcome != caller_outcome::Unanswered) {
-      end(Id, Answer);
+      endJob(Id, Answer);
       return;
     }
-    double DelayMs = NothingWritten ? UnreachableMs : ResendMs;
+    double DelayMs = NothingWritten ? UnreachableRetryDelayMs : ResendDelayMs;
     if (now() + fromMs(DelayMs) >= Offered.GiveUpAt)
-      end(Id, Answer);
+      endJob(Id, Answer);
     else
-      Executor.after(fromMs(DelayMs), [this, Id] { attempt(Id); });
+      Executor.after(fromMs(DelayMs), [this, Id] { sendAttempt(Id); });
   }
 
-  void end(std::uint64_t Id, const caller_answer &Answer) {
+  void endJob(std::uint64_t Id, const caller_answer &Answer) {
     offered_job &Offered = Jobs.at(Id);
-    job_end End = endOf(Answer.Outcome);
+    job_end End = toJobEnd(Answer.Outcome);
     double TookMs = runtime::toMs(now() - Offered.FirstSent);
-    note(End, TookMs);
+    recordEnd(End, TookMs);
     if (End == job_end::Completed && Offered.FirstSent - StartedAt >= fromMs(Options.WarmupSeconds * 1000))
       Result.addCompleted(TookMs, Offered.WorkMs, Stretch * Offered.WorkMs + ObjectiveMs);
     if (Answer.Outcome == caller_outcome::Pending)
       Result.addViolation(fmt::format("job {:016x} was answered before its end", Id));
     // Only this attempt can have reached an entry VM, so that the job has not run at all.
     if (End == job_end::Refused && Offered.OpenAttempts == 1)
-      Refused.push_back(Id);
+      RefusedJobs.push_back(Id);
     Jobs.erase(Id);
     finishWhenIdle();
   }
 
-  void note(job_end End, double TookMs) {
+  void recordEnd(job_end End, double TookMs) {
     Result.addEnd(End);
     if (Options.Timeline)
       Timeline.add(elapsedSeconds(), End, TookMs);
   }
 
-  void leave(std::uint64_t Id) {
+  void disconnectCaller(std::uint64_t Id) {
     auto Found = Jobs.find(Id);
     if (Found == Jobs.end())
       return;
     if (Found->second.Call)
-      Client.abandon(Found->second.Call);
-    note(job_end::Left, 0);
+      Client.cancel(Found->second.Call);
+    recordEnd(job_end::Left, 0);
     Jobs.erase(Found);
     finishWhenIdle();
   }
@@ -179,7 +179,7 @@
     if (!Jobs.contains(Id))
       return;
     wire::http_call Call = platform::makeCancelCall(randomEntry(), {Options.Host, Options.Path}, Id);
-    Call.Timeout = fromMs(AnswerSlackMs);
+    Call.Timeout = fromMs(TimeoutSlackMs);
     Client.call(std::move(Call), [](const wire::http_call_result &) {});
   }
 
@@ -193,7 +193,7 @@
     Executor.after(std::chrono::seconds(1), [this] {
       if (Finished)
         return;
-      Print(Timeline.takeUntil(elapsedSeconds()));
+      Print(Timeline.takeLinesUntil(elapsedSeconds()));
       scheduleTimeline();
     });
   }
@@ -202,13 +202,13 @@
     if (!Stopping || !Jobs.empty() || std::exchange(Finished, true))
       return;
     if (Options.Timeline)
-      Print(Timeline.takeUntil(elapsedSeconds() + 1));
-    if (Options.Check.empty()) {
+      Print(Timeline.takeLinesUntil(elapsedSeconds() + 1));
+    if (Options.CheckAddress.empty()) {
       Executor.post(OnDone);
       return;
     }
-    askSite("/summary", [this](const nlohmann::json &Summary) { readSummary(Summary); });
-    askAboutRefused();
+    querySite("/summary", [this](const nlohmann::json &Summary) { readSummary(Summary); });
+    checkRefusedJobs();
   }
 
   void readSummary(const nlohmann::json &Summary) {
@@ -220,10 +220,10 @@
       Result.addViolation(Violation.dump());
   }
 
-  void askAboutRefused() {
-    while (OpenChecks < MaxChecksAtOnce && NextRefused < Refused.size()) {
-      std::uint64_t Id = Refused[NextRefused++];
-      askSite(fmt::format("/job?id={:016x}", Id), [this, Id](const nlohmann::json &Job) {
+  void checkRefusedJobs() {
+    while (OpenChecks < MaxConcurrentChecks && NextRefusedJob < RefusedJobs.size()) {
+      std::uint64_t Id = RefusedJobs[NextRefusedJob++];
+      querySite(fmt::format("/job?id={:016x}", Id), [this, Id](const nlohmann::json &Job) {
         if (!Job.is_object() || !Job.contains("starts") || !Job["starts"].is_number_integer())
           ++CheckErrors;
         else if (Job["starts"].get<std::int64_t>() > 0)
@@ -232,17 +232,17 @@
     }
   }
 
-  void askSite(const std::string &Path, std::function<void(const nlohmann::json &)> OnReply) {
+  void querySite(const std::string &Path, std::function<void(const nlohmann::json &)> OnReply) {
     ++OpenChecks;
     wire::http_call Call;
-    Call.Address = Options.Check;
+    Call.Address = Options.CheckAddress;
     Call.Path = Path;
     Call.Timeout = CheckTimeout;
     Client.call(std::move(Call), [this, OnReply = std::move(OnReply)](const wire::http_call_result &Reply) {
       bool Valid = !Reply.Error && Reply.Status == 200;
       OnReply(Valid ? nlohmann::json::parse(Reply.Body, nullptr, false) : nlohmann::json());
       --OpenChecks;
-      askAboutRefused();
+      checkRefusedJobs();
       if (OpenChecks == 0)
         OnDone();
     });
@@ -256,8 +256,8 @@
   std::function<void()> OnDone;
   time_point StartedAt;
   std::unordered_map<std::uint64_t, offered_job> Jobs;
-  std::vector<std::uint64_t> Refused;
-  std::size_t NextRefused = 0;
+  std::vector<std::uint64_t> RefusedJobs;
+  std::size_t NextRefusedJob = 0;
   std::size_t OpenChecks = 0;
   std::uint64_t CheckErrors = 0;
   timeline Timeline;
--- a/src/yuccaplank/load/load_run_test.cpp
+++ b/src/yuccaplank/load/load_run_test.cpp
@@ -25,7 +25,7 @@
     Options.Host = "jobs.example";
     Options.Path = "/jobs/";
     Options.Seconds = 1;
-    Options.Check = "127.0.0.1:9";
+    Options.CheckAddress = "127.0.0.1:9";
   }
 
   int run() {
--- a/src/yuccaplank/load/measurements.cpp
+++ b/src/yuccaplank/load/measurements.cpp
@@ -8,16 +8,16 @@
 namespace yuccaplank::load {
 namespace {
 
-constexpr std::size_t KeptBreaches = 20;
+constexpr std::size_t MaxKeptViolations = 20;
 // Indexed by job_end.
-constexpr std::array<std::string_view, JobEnds> EndNames = {"completed", "failed",    "refused",
-                                                            "not_taken", "no_answer", "left"};
+constexpr std::array<std::string_view, JobEndCount> EndNames = {"completed", "failed",    "refused",
+                                                                "not_taken", "no_answer", "left"};
 constexpr double ReportedPercents[] = {50, 90, 99};
 
-std::string percentileLines(std::string_view Name, std::vector<double> &Samples) {
+std::string formatPercentiles(std::string_view Name, std::vector<double> &Samples) {
   std::string Lines;
   for (double Percent : ReportedPercents)
-    Lines += figureLine(fmt::format("{}_p{:g}", Name, Percent), percentile(Samples, Percent), "ms");
+    Lines += formatFigure(fmt::format("{}_p{:g}", Name, Percent), percentile(Samples, Percent), "ms");
   return Lines;
 }
 
@@ -32,7 +32,7 @@
   return Samples[std::min(Index, Samples.size() - 1)];
 }
 
-job_end endOf(platform::caller_outcome Outcome) {
+job_end toJobEnd(platform::caller_outcome Outcome) {
   switch (Outcome) {
   case platform::caller_outcome::Completed:
     return job_end::Completed;
@@ -51,28 +51,28 @@
 
 void measurements::addCompleted(double ResponseMs, double WorkMs, double ObjectiveMs) {
   ResponsesMs.push_back(ResponseMs);
-  AddedMs.push_back(ResponseMs - WorkMs);
-  InTime += ResponseMs <= ObjectiveMs ? 1 : 0;
+  OverheadMs.push_back(ResponseMs - WorkMs);
+  WithinObjective += ResponseMs <= ObjectiveMs ? 1 : 0;
 }
 
 void measurements::addViolation(std::string Text) {
-  if (Violations.size() < KeptBreaches)
+  if (Violations.size() < MaxKeptViolations)
     Violations.push_back(std::move(Text));
 }
 
 std::string measurements::report() {
   std::string Lines;
-  for (std::size_t Index = 0; Index < JobEnds; ++Index)
-    Lines += figureLine(fmt::format("jobs_{}", EndNames[Index]), static_cast<double>(Ends[Index]), "count");
-  Lines += figureLine("jobs_in_time", static_cast<double>(InTime), "count");
-  Lines += figureLine("attempts", static_cast<double>(Attempts), "count");
-  Lines += figureLine("breaches", static_cast<double>(Violations.size()), "count");
-  Lines += percentileLines("latency", ResponsesMs);
-  Lines += percentileLines("added", AddedMs);
+  for (std::size_t Index = 0; Index < JobEndCount; ++Index)
+    Lines += formatFigure(fmt::format("jobs_{}", EndNames[Index]), static_cast<double>(Ends[Index]), "count");
+  Lines += formatFigure("jobs_in_time", static_cast<double>(WithinObjective), "count");
+  Lines += formatFigure("attempts", static_cast<double>(Attempts), "count");
+  Lines += formatFigure("breaches", static_cast<double>(Violations.size()), "count");
+  Lines += formatPercentiles("latency", ResponsesMs);
+  Lines += formatPercentiles("added", OverheadMs);
   return Lines;
 }
 
-std::string figureLine(std::string_view Name, double Value, std::string_view Unit) {
+std::string formatFigure(std::string_view Name, double Value, std::string_view Unit) {
   return fmt::format("{{\"name\":\"{}\",\"value\":{:.10g},\"unit\":\"{}\"}}\n", Name, Value, Unit);
 }
 
@@ -83,13 +83,13 @@
     Counts.ResponsesMs.push_back(ResponseMs);
 }
 
-std::string timeline::takeUntil(std::int64_t Second) {
+std::string timeline::takeLinesUntil(std::int64_t Second) {
   std::string Lines;
   for (; NextSecond < Second; ++NextSecond) {
     second_counts Counts = std::move(Seconds[NextSecond]);
     Seconds.erase(NextSecond);
     Lines += fmt::format("{{\"second\":{}", NextSecond);
-    for (std::size_t Index = 0; Index < JobEnds; ++Index)
+    for (std::size_t Index = 0; Index < JobEndCount; ++Index)
       Lines += fmt::format(",\"{}\":{}", EndNames[Index], Counts.Ends[Index]);
     Lines += fmt::format(",\"p99_ms\":{:.3f}}}\n", percentile(Counts.ResponsesMs, 99));
   }
--- a/src/yuccaplank/load/measurements.hpp
+++ b/src/yuccaplank/load/measurements.hpp
@@ -17,8 +17,8 @@
 
 /// How a job ended for its caller.
 enum class job_end : std::uint8_t { Completed, Failed, Refused, NotTaken, NoAnswer, Left };
-inline constexpr std::size_t JobEnds = 6;
-job_end endOf(platform::caller_outcome Outcome);
+inline constexpr std::size_t JobEndCount = 6;
+job_end toJobEnd(platform::caller_outcome Outcome);
 
 class measurements {
 public:
@@ -35,27 +35,27 @@
   std::string report();
 
 private:
-  std::array<std::uint64_t, JobEnds> Ends{};
+  std::array<std::uint64_t, JobEndCount> Ends{};
   std::uint64_t Attempts = 0;
-  std::uint64_t InTime = 0;
+  std::uint64_t WithinObjective = 0;
   std::vector<double> ResponsesMs;
-  std::vector<double> AddedMs;
+  std::vector<double> OverheadMs;
   std::vector<std::string> Violations;
 };
 
 /// One JSON line: {"name":…,"value":…,"unit":…}.
-std::string figureLine(std::string_view Name, double Value, std::string_view Unit);
+std::string formatFigure(std::string_view Name, double Value, std::string_view Unit);
 
 /// Ends of jobs by the second in which they came.
 class timeline {
 public:
   void add(std::int64_t Second, job_end End, double ResponseMs);
   /// Lines of all seconds before Second, which are then dropped.
-  std::string takeUntil(std::int64_t Second);
+  std::string takeLinesUntil(std::int64_t Second);
 
 private:
   struct second_counts {
-    std::array<std::uint64_t, JobEnds> Ends{};
+    std::array<std::uint64_t, JobEndCount> Ends{};
     std::vector<double> ResponsesMs;
   };
   std::map<std::int64_t, second_counts> Seconds;
--- a/src/yuccaplank/load/options.cpp
+++ b/src/yuccaplank/load/options.cpp
@@ -33,14 +33,14 @@
   Add("warmup", Number(Options.WarmupSeconds), "seconds left out of times");
   Add("tasks", po::value(&Raw.Tasks)->default_value(Raw.Tasks), "MIN-MAX tasks of a job");
   Add("cores", Number(Options.Cores), "cores of a task");
-  Add("task-ms", Number(Options.TaskMs), "mean run time of a task");
+  Add("task-ms", Number(Options.MeanTaskMs), "mean run time of a task");
   Add("task-spread", Number(Options.TaskSpread), "log-normal spread of run times; 0 makes them equal");
   Add("declared-spread", Number(Options.DeclaredSpread), "log-normal spread of declared times");
   Add("deadline-ms", po::value(&Options.DeadlineMs)->default_value(Options.DeadlineMs),
       "how long callers wait");
   Add("leave-percent", Number(Options.LeavePercent), "callers that leave before their answer");
   Add("cancel-percent", Number(Options.CancelPercent), "jobs cancelled through another entry VM");
-  Add("check", po::value(&Options.Check), "ip:port of the stand-in site's control listener");
+  Add("check", po::value(&Options.CheckAddress), "ip:port of the stand-in site's control listener");
   Add("timeline", po::bool_switch(&Options.Timeline), "print a line each second");
   Add("seed", po::value(&Options.Seed)->default_value(Options.Seed), "seed of the jobs");
   return Description;
@@ -57,7 +57,7 @@
 }
 
 // A sentence, or nothing.
-std::string check(const load_options &Options) {
+std::string validate(const load_options &Options) {
   if (Options.Entries.empty())
     return "--entries is missing.";
   if (Options.Host.empty())
@@ -67,7 +67,8 @@
   for (double Percent : {Options.LeavePercent, Options.CancelPercent})
     if (!(Percent >= 0 && Percent <= 100))
       return "--leave-percent and --cancel-percent must be 0 to 100.";
-  if (!(Options.TaskMs >= 0 && Options.TaskSpread >= 0 && Options.DeclaredSpread >= 0 && Options.Cores > 0))
+  if (!(Options.MeanTaskMs >= 0 && Options.TaskSpread >= 0 && Options.DeclaredSpread >= 0 &&
+        Options.Cores > 0))
     return "--task-ms and the spreads must not be below 0, and --cores must be above.";
   return {};
 }
@@ -102,7 +103,7 @@
     Options.Host = Raw.Queue.substr(0, Slash);
     Options.Path = Raw.Queue.substr(Slash);
   }
-  if (std::string Message = check(Options); !Message.empty())
+  if (std::string Message = validate(Options); !Message.empty())
     return load_usage_error{Message};
   return Options;
 }
--- a/src/yuccaplank/load/options.hpp
+++ b/src/yuccaplank/load/options.hpp
@@ -24,7 +24,7 @@
   std::uint32_t MaxTasks = 4;
   double Cores = 27;
   /// Mean run time of a task on a server of ordinary speed; single ones are log-normal around it.
-  double TaskMs = 60;
+  double MeanTaskMs = 60;
   double TaskSpread = 0.4;
   /// Spread of the declared run time around the real one.
   double DeclaredSpread = 0.4;
@@ -34,7 +34,7 @@
   /// Share of the jobs that are cancelled by a call to another entry VM.
   double CancelPercent = 0;
   /// Control listener of the stand-in site; empty leaves out the checks there.
-  std::string Check;
+  std::string CheckAddress;
   bool Timeline = false;
   std::uint64_t Seed = 1;
 };
--- a/src/yuccaplank/load/yuccaplank_load_main.cpp
+++ b/src/yuccaplank/load/yuccaplank_load_main.cpp
@@ -24,7 +24,7 @@
 int runLoad(const load::load_options &Options) {
   // Every job in flight uses a connection.
   runtime::raiseDescriptorLimit();
-  printLines(load::figureLine("seed", static_cast<double>(Options.Seed), "count"));
+  printLines(load::formatFigure("seed", static_cast<double>(Options.Seed), "count"));
   auto Loop = runtime::makeLoop();
   auto Client = wire::makeHttpClient(*Loop);
   auto Run = load::makeLoadRun(*Loop, *Client, Options, printLines);
--- a/src/yuccaplank/simulation/simulated_servers.cpp
+++ b/src/yuccaplank/simulation/simulated_servers.cpp
@@ -19,10 +19,10 @@
 standin::run_work simulated_servers::workOf(const simulated_server &Server,
                                             const std::string &Specification) {
   standin::run_work Work = standin::decodeWork(Specification);
-  Work.Time = runtime::fromMs(runtime::toMs(Work.Time) * Server.Slowness * Server.Slowdown);
+  Work.Duration = runtime::fromMs(runtime::toMs(Work.Duration) * Server.Slowness * Server.Slowdown);
   Work.Fails = Server.Failing;
   if (Server.Hanging)
-    Work.Time = Hanging;
+    Work.Duration = Hanging;
   return Work;
 }
 
@@ -193,7 +193,7 @@
 
 void simulated_servers::answerHolds(const std::string &Name) {
   simulated_server &Server = Servers.at(Name);
-  if (!Server.State || !Server.State->hasEnds())
+  if (!Server.State || !Server.State->hasUnobservedEnds())
     return;
   std::vector<waiting_hold> Due;
   Due.swap(Server.Holds);
@@ -205,7 +205,7 @@
 
 // Lets the server's time pass when something is due there.
 void simulated_servers::watch(const std::string &Name) {
-  auto Due = Servers.at(Name).State->nextEvent();
+  auto Due = Servers.at(Name).State->nextEventTime();
   if (!Due)
     return;
   std::uint64_t Life = Servers.at(Name).Life;
--- a/src/yuccaplank/standin/row_store.cpp
+++ b/src/yuccaplank/standin/row_store.cpp
@@ -5,13 +5,13 @@
 
 namespace yuccaplank::standin {
 
-std::uint64_t row_store::versionOf(const row_name &Name) const {
+std::uint64_t row_store::currentVersion(const row_name &Name) const {
   auto Found = Rows.find(Name);
   return Found == Rows.end() || Found->second.Deleted ? 0 : Found->second.Version;
 }
 
 // All rows of one transaction get its version; the history keeps the latest change of each row.
-void row_store::change(stored_row Row) {
+void row_store::applyChange(stored_row Row) {
   stored_row &Stored = Rows[Row.Name];
   Changes.erase(Stored.Version);
   Row.Version = ++Version;
@@ -20,16 +20,16 @@
 }
 
 std::optional<std::uint64_t> row_store::commit(const row_transaction &Transaction) {
-  bool Holds = std::ranges::all_of(Transaction.Expected, [this](const expected_row &Expected) {
-    return versionOf(Expected.Name) == Expected.Version;
+  bool ExpectationsHold = std::ranges::all_of(Transaction.Expected, [this](const expected_row &Expected) {
+    return currentVersion(Expected.Name) == Expected.Version;
   });
-  if (!Holds)
+  if (!ExpectationsHold)
     return std::nullopt;
   for (const stored_row &Put : Transaction.Puts)
-    change({Put.Name, Put.Value, 0, false});
+    applyChange({Put.Name, Put.Value, 0, false});
   for (const row_name &Name : Transaction.Removed)
-    if (versionOf(Name) != 0)
-      change({Name, "", 0, true});
+    if (currentVersion(Name) != 0)
+      applyChange({Name, "", 0, true});
   return Version;
 }
 
@@ -62,7 +62,7 @@
   return Page;
 }
 
-std::vector<stored_row> row_store::currentOf(const std::vector<expected_row> &Expected) const {
+std::vector<stored_row> row_store::currentRows(const std::vector<expected_row> &Expected) const {
   std::vector<stored_row> Result;
   for (const expected_row &Row : Expected) {
     auto Found = Rows.find(Row.Name);
--- a/src/yuccaplank/standin/row_store.hpp
+++ b/src/yuccaplank/standin/row_store.hpp
@@ -56,13 +56,13 @@
   /// gone.
   [[nodiscard]] std::optional<row_page> changes(std::string_view Table, std::uint64_t After) const;
   /// Current rows of a transaction's expectations.
-  [[nodiscard]] std::vector<stored_row> currentOf(const std::vector<expected_row> &Expected) const;
+  [[nodiscard]] std::vector<stored_row> currentRows(const std::vector<expected_row> &Expected) const;
   void forgetHistory();
   [[nodiscard]] std::uint64_t version() const { return Version; }
 
 private:
-  [[nodiscard]] std::uint64_t versionOf(const row_name &Name) const;
-  void change(stored_row Row);
+  [[nodiscard]] std::uint64_t currentVersion(const row_name &Name) const;
+  void applyChange(stored_row Row);
 
   // Dropped rows stay until the history is forgotten.
   std::map<row_name, stored_row> Rows;
--- a/src/yuccaplank/standin/site.cpp
+++ b/src/yuccaplank/standin/site.cpp
@@ -25,7 +25,7 @@
 using wire::http_request;
 
 // Heartbeats without a sign of a worker after which its entry is removed.
-constexpr std::uint32_t HeartbeatsToLapse = 3;
+constexpr std::uint32_t MaxMissedHeartbeats = 3;
 // Indexed by store_mode and worker_mode.
 constexpr auto StoreModes = std::to_array<std::string_view>({"normal", "down", "reset", "silent"});
 constexpr auto WorkerModes = std::to_array<std::string_view>({"normal", "silent", "failing", "hanging"});
@@ -64,7 +64,7 @@
       return MadeControl.error();
     Control = std::move(MadeControl.value());
     configure(1);
-    beat();
+    writeEntries();
     return BOOST_OUTCOME_V2_NAMESPACE::success();
   }
 
@@ -109,31 +109,33 @@
 
   void onStart(const site_worker &Worker, const dispatch::run_key &Run) {
     ++Starts;
-    ++StartsOfJobs[Run.Task.Job];
-    const worker_options &Where = Worker.Worker->options();
+    ++StartsByJob[Run.Task.Job];
+    const worker_options &WorkerOptions = Worker.Worker->options();
     for (const site_worker &Other : Workers)
-      if (&Other != &Worker && Other.Worker->runs(Run.Task))
+      if (&Other != &Worker && Other.Worker->isRunning(Run.Task))
         Violations.push_back(fmt::format("{} starts on {} while a run of the task is on {}",
-                                         dispatch::format(Run), Where.Id, Other.Worker->options().Id));
-    if (Worker.Worker->usedCpu() > Where.Cpu)
-      Violations.push_back(fmt::format("{} starts on {} beyond its room", dispatch::format(Run), Where.Id));
+                                         dispatch::format(Run), WorkerOptions.Id,
+                                         Other.Worker->options().Id));
+    if (Worker.Worker->usedCpu() > WorkerOptions.Cpu)
+      Violations.push_back(
+          fmt::format("{} starts on {} beyond its room", dispatch::format(Run), WorkerOptions.Id));
   }
 
   // Entries of the workers.
 
-  void beat() {
+  void writeEntries() {
     for (site_worker &Worker : Workers)
-      beat(Worker);
-    Loop.after(Options.Heartbeat, Lifetime.guard([this] { beat(); }));
+      writeEntries(Worker);
+    Loop.after(Options.HeartbeatInterval, Lifetime.guard([this] { writeEntries(); }));
   }
 
   // While the store is away entries lapse too.
-  void beat(site_worker &Worker) {
+  void writeEntries(site_worker &Worker) {
     const std::string &Id = Worker.Worker->options().Id;
     if (Worker.Worker->alive() && StoreFaults.Mode == store_mode::Normal) {
       Worker.MissedHeartbeats = 0;
-      Store->put(platform::ServerTable, Id, Worker.Worker->entry(++Worker.Sequence, Worker.Draining));
-    } else if (++Worker.MissedHeartbeats == HeartbeatsToLapse) {
+      Store->put(platform::ServerTable, Id, Worker.Worker->makeEntry(++Worker.Sequence, Worker.Draining));
+    } else if (++Worker.MissedHeartbeats == MaxMissedHeartbeats) {
       Store->remove(platform::ServerTable, Id);
     }
   }
@@ -154,8 +156,8 @@
         {"POST", "/workers/start", &site_impl::startWorkers},
         {"POST", "/history/forget", &site_impl::forgetHistory},
         {"POST", "/configuration", &site_impl::setConfiguration},
-        {"GET", "/summary", &site_impl::summary},
-        {"GET", "/job", &site_impl::job},
+        {"GET", "/summary", &site_impl::getSummary},
+        {"GET", "/job", &site_impl::getJob},
     });
     for (const route &Route : Routes)
       if (Route.Method == Request.Method && Route.Path == Request.Path)
@@ -163,7 +165,7 @@
     Control->reply(Request.Token, reasonReply(404, "unknown_path"));
   }
 
-  static http_reply done(const std::vector<field_issue> &Issues) {
+  static http_reply issuesReply(const std::vector<field_issue> &Issues) {
     if (Issues.empty())
       return jsonReply(200, json::object());
     return reasonReply(400, fmt::format("{}: {}", Issues.front().Path, errcName(Issues.front().Reason)));
@@ -180,16 +182,16 @@
     Reader.optionalNumber("delay_ms", DelayMs);
     Reader.optionalNumber("lost_answers", Faults.LostAnswers);
     Reader.optionalNumber("late_writes", Faults.LateWrites);
-    auto Known = enumFromName<store_mode>(StoreModes, Mode);
-    if (!Known)
+    auto ParsedMode = enumFromName<store_mode>(StoreModes, Mode);
+    if (!ParsedMode)
       Issues.push_back({runtime::errc::OutOfRange, "mode"});
     if (Issues.empty()) {
-      Faults.Mode = *Known;
+      Faults.Mode = *ParsedMode;
       Faults.Delay = runtime::fromMs(DelayMs);
       StoreFaults = Faults;
       Store->setFaults(Faults);
     }
-    return done(Issues);
+    return issuesReply(Issues);
   }
 
   http_reply setWorkerFaults(const http_request &Request) {
@@ -204,43 +206,43 @@
     Reader.optionalNumber("late_orders", Faults.LateOrders);
     Reader.optionalNumber("slowdown", Faults.Slowdown);
     Reader.optionalFlag("draining", Draining);
-    auto Known = enumFromName<worker_mode>(WorkerModes, Mode);
-    if (!Known)
+    auto ParsedMode = enumFromName<worker_mode>(WorkerModes, Mode);
+    if (!ParsedMode)
       Issues.push_back({runtime::errc::OutOfRange, "mode"});
     if (!Issues.empty())
-      return done(Issues);
-    Faults.Mode = *Known;
-    for (site_worker *Worker : chosen(Reader, Issues)) {
+      return issuesReply(Issues);
+    Faults.Mode = *ParsedMode;
+    for (site_worker *Worker : selectWorkers(Reader, Issues)) {
       Worker->Draining = Draining;
       Worker->Worker->setFaults(Faults);
     }
-    return done(Issues);
+    return issuesReply(Issues);
   }
 
   http_reply crashWorkers(const http_request &Request) {
-    return forChosen(Request, [](worker &Worker) {
+    return forSelectedWorkers(Request, [](worker &Worker) {
       if (Worker.alive())
         Worker.crash();
       return true;
     });
   }
   http_reply startWorkers(const http_request &Request) {
-    return forChosen(Request,
-                     [](worker &Worker) { return Worker.alive() || static_cast<bool>(Worker.start()); });
+    return forSelectedWorkers(
+        Request, [](worker &Worker) { return Worker.alive() || static_cast<bool>(Worker.start()); });
   }
 
-  http_reply forChosen(const http_request &Request, const std::function<bool(worker &)> &Function) {
+  http_reply forSelectedWorkers(const http_request &Request, const std::function<bool(worker &)> &Function) {
     json Body = platform::parseJson(Request.Body);
     std::vector<field_issue> Issues;
     object_reader Reader(Body, "", Issues);
-    for (site_worker *Worker : chosen(Reader, Issues))
+    for (site_worker *Worker : selectWorkers(Reader, Issues))
       if (!Function(*Worker->Worker))
         Issues.push_back({runtime::errc::Internal, Worker->Worker->options().Id});
-    return done(Issues);
+    return issuesReply(Issues);
   }
 
   // The workers that a document names; all of them when it names none.
-  std::vector<site_worker *> chosen(object_reader &Reader, std::vector<field_issue> &Issues) {
+  std::vector<site_worker *> selectWorkers(object_reader &Reader, std::vector<field_issue> &Issues) {
     std::vector<site_worker *> Result;
     const json &Names = Reader.child("names", false, true);
     for (site_worker &Worker : Workers)
@@ -253,14 +255,14 @@
 
   http_reply forgetHistory(const http_request & /*Request*/) {
     Store->forgetHistory();
-    return done({});
+    return issuesReply({});
   }
   http_reply setConfiguration(const http_request &Request) {
     Store->put(platform::OperatorTable, platform::ConfigurationKey, Request.Body);
-    return done({});
+    return issuesReply({});
   }
 
-  http_reply summary(const http_request & /*Request*/) {
+  http_reply getSummary(const http_request & /*Request*/) {
     return jsonReply(200, {{"starts", Starts},
                            {"breaches", Violations},
                            {"store_reads", Store->counters().Reads},
@@ -269,12 +271,12 @@
   }
 
   // What became of one job at the workers.
-  http_reply job(const http_request &Request) {
+  http_reply getJob(const http_request &Request) {
     auto Id = platform::parseJobId(Request.query("id"));
     if (!Id)
       return reasonReply(400, "id");
-    auto Found = StartsOfJobs.find(*Id);
-    return jsonReply(200, {{"starts", Found == StartsOfJobs.end() ? 0 : Found->second}});
+    auto Found = StartsByJob.find(*Id);
+    return jsonReply(200, {{"starts", Found == StartsByJob.end() ? 0 : Found->second}});
   }
 
   static constexpr std::size_t RackSize = 6;
@@ -288,7 +290,7 @@
   std::vector<site_worker> Workers;
   std::unique_ptr<wire::http_server> Control;
   std::uint64_t Starts = 0;
-  std::unordered_map<std::uint64_t, std::uint64_t> StartsOfJobs;
+  std::unordered_map<std::uint64_t, std::uint64_t> StartsByJob;
   std::vector<std::string> Violations;
   runtime::lifetime Lifetime;
 };
--- a/src/yuccaplank/standin/site.hpp
+++ b/src/yuccaplank/standin/site.hpp
@@ -24,7 +24,7 @@
   /// Factors on run times, given to the workers in turn.
   std::vector<double> Slowness{0.6, 1, 1.6};
   /// Interval at which workers write their entries; these are removed after three of them.
-  runtime::duration Heartbeat = std::chrono::milliseconds(500);
+  runtime::duration HeartbeatInterval = std::chrono::milliseconds(500);
   std::uint64_t Seed = 1;
 };
 
--- a/src/yuccaplank/standin/store_service.cpp
+++ b/src/yuccaplank/standin/store_service.cpp
@@ -32,8 +32,8 @@
 constexpr int TooManyRequests = 429;
 constexpr int Unavailable = 503;
 constexpr std::uint32_t MaxWaitMs = 30'000;
-constexpr double LeastLateMs = 1000;
-constexpr double MostLateMs = 8000;
+constexpr double MinLateDelayMs = 1000;
+constexpr double MaxLateDelayMs = 8000;
 
 // Calls in the current second.
 class rate_limit {
@@ -80,7 +80,7 @@
   return Result;
 }
 
-std::uint64_t numberOf(std::string_view Text) {
+std::uint64_t parseNumber(std::string_view Text) {
   std::uint64_t Value = 0;
   std::from_chars(Text.data(), Text.data() + Text.size(), Value);
   return Value;
@@ -89,7 +89,7 @@
 class store_service_impl final : public store_service {
 public:
   store_service_impl(runtime::loop &Loop, const store_options &Options)
-      : Loop(Loop), Options(Options), Reads(Options.ReadsPerSecond), Writes(Options.WritesPerSecond),
+      : Loop(Loop), Options(Options), ReadLimit(Options.ReadsPerSecond), WriteLimit(Options.WritesPerSecond),
         Random(Options.Seed) {}
   store_service_impl(const store_service_impl &) = delete;
   store_service_impl &operator=(const store_service_impl &) = delete;
@@ -141,7 +141,7 @@
     wire::request_token Token = 0;
     std::string Table;
     std::uint64_t After = 0;
-    time_point Until;
+    time_point Deadline;
   };
 
   void onRequest(const http_request &Request) {
@@ -156,10 +156,10 @@
     if (Faults.Mode == store_mode::Silent)
       return;
     if (Faults.Mode == store_mode::Reset)
-      return Server->drop(Request.Token);
+      return Server->closeWithoutReply(Request.Token);
     if (Faults.Mode == store_mode::Down)
       return reply(Request.Token, reasonReply(Unavailable, "unavailable"));
-    if (!(Route.Write ? Writes : Reads).admit(Loop.clock().now())) {
+    if (!(Route.Write ? WriteLimit : ReadLimit).admit(Loop.clock().now())) {
       ++Counters.Rejected;
       return reply(Request.Token, reasonReply(TooManyRequests, "rate"));
     }
@@ -188,34 +188,35 @@
       Transaction.Removed.push_back(readName(Row, Issues));
     if (!Issues.empty())
       return reply(Request.Token, reasonReply(BadRequest, "malformed"));
-    if (touchesOwnTables(Transaction))
+    if (writesPlatformTable(Transaction))
       return reply(Request.Token, reasonReply(Forbidden, "table"));
-    carryOut(Request.Token, Transaction);
+    execute(Request.Token, Transaction);
   }
 
   // The operators' and the servers' tables are theirs.
-  static bool touchesOwnTables(const row_transaction &Transaction) {
-    auto Own = [](const row_name &Name) { return Name.Table == "op" || Name.Table == "servers"; };
-    return std::ranges::any_of(Transaction.Puts, [&](const stored_row &Put) { return Own(Put.Name); }) ||
-           std::ranges::any_of(Transaction.Removed, Own);
+  static bool writesPlatformTable(const row_transaction &Transaction) {
+    auto IsPlatformTable = [](const row_name &Name) { return Name.Table == "op" || Name.Table == "servers"; };
+    return std::ranges::any_of(Transaction.Puts,
+                               [&](const stored_row &Put) { return IsPlatformTable(Put.Name); }) ||
+           std::ranges::any_of(Transaction.Removed, IsPlatformTable);
   }
 
-  void carryOut(wire::request_token Token, const row_transaction &Transaction) {
+  void execute(wire::request_token Token, const row_transaction &Transaction) {
     if (Random.uniform() < Faults.LateWrites) {
-      double Ms = LeastLateMs + Random.uniform() * (MostLateMs - LeastLateMs);
-      later(runtime::fromMs(Ms), [this, Transaction] { commit(Transaction); });
+      double Ms = MinLateDelayMs + Random.uniform() * (MaxLateDelayMs - MinLateDelayMs);
+      runAfter(runtime::fromMs(Ms), [this, Transaction] { commit(Transaction); });
       return;
     }
     bool Lost = Random.uniform() < Faults.LostAnswers;
-    later(Options.TransactionTime, [this, Token, Transaction, Lost] {
+    runAfter(Options.TransactionDelay, [this, Token, Transaction, Lost] {
       auto Version = commit(Transaction);
       if (Lost)
-        Server->drop(Token);
+        Server->closeWithoutReply(Token);
       else if (Version)
         reply(Token, jsonReply(Ok, {{"version_number", *Version}, {"now_ms", nowMs()}}));
       else
         reply(Token,
-              jsonReply(PreconditionFailed, {{"rows", writeRows(Store.currentOf(Transaction.Expected))},
+              jsonReply(PreconditionFailed, {{"rows", writeRows(Store.currentRows(Transaction.Expected))},
                                              {"version_number", Store.version()},
                                              {"now_ms", nowMs()}}));
     });
@@ -226,15 +227,15 @@
     reply(Request.Token, pageReply(Page));
   }
 
-  void follow(const http_request &Request) {
-    auto WaitMs = std::min<std::uint64_t>(numberOf(Request.query("wait_ms")), MaxWaitMs);
-    time_point Until = Loop.clock().now() + std::chrono::milliseconds(WaitMs);
-    waiting_feed Feed{Request.Token, std::string(Request.query("table")), numberOf(Request.query("after")),
-                      Until};
+  void waitForChanges(const http_request &Request) {
+    auto WaitMs = std::min<std::uint64_t>(parseNumber(Request.query("wait_ms")), MaxWaitMs);
+    time_point Deadline = Loop.clock().now() + std::chrono::milliseconds(WaitMs);
+    waiting_feed Feed{Request.Token, std::string(Request.query("table")), parseNumber(Request.query("after")),
+                      Deadline};
     if (answerFeed(Feed))
       return;
     Feeds.push_back(std::move(Feed));
-    later(Until - Loop.clock().now(), [this] { answerFeeds(); });
+    runAfter(Deadline - Loop.clock().now(), [this] { answerFeeds(); });
   }
 
   bool answerFeed(const waiting_feed &Feed) {
@@ -243,7 +244,7 @@
       reply(Feed.Token, reasonReply(Gone, "history"));
       return true;
     }
-    if (Page->Rows.empty() && Loop.clock().now() < Feed.Until)
+    if (Page->Rows.empty() && Loop.clock().now() < Feed.Deadline)
       return false;
     reply(Feed.Token, pageReply(*Page));
     return true;
@@ -273,10 +274,10 @@
   void reply(wire::request_token Token, const http_reply &Reply) {
     if (Faults.Delay == runtime::duration::zero())
       return Server->reply(Token, Reply);
-    later(Faults.Delay, [this, Token, Reply] { Server->reply(Token, Reply); });
+    runAfter(Faults.Delay, [this, Token, Reply] { Server->reply(Token, Reply); });
   }
 
-  void later(runtime::duration Delay, std::function<void()> Function) {
+  void runAfter(runtime::duration Delay, std::function<void()> Function) {
     Loop.after(std::max(Delay, runtime::duration::zero()), Lifetime.guard(std::move(Function)));
   }
 
@@ -285,8 +286,8 @@
   row_store Store;
   store_faults Faults;
   store_counters Counters;
-  rate_limit Reads;
-  rate_limit Writes;
+  rate_limit ReadLimit;
+  rate_limit WriteLimit;
   runtime::random Random;
   std::vector<waiting_feed> Feeds;
   std::unique_ptr<wire::http_server> Server;
@@ -296,7 +297,7 @@
 const std::array<store_service_impl::route, 3> store_service_impl::Routes = {{
     {"POST", "/yuccaplank/rows-tx", &store_service_impl::transact, true},
     {"GET", "/yuccaplank/rows-get", &store_service_impl::read, false},
-    {"GET", "/yuccaplank/rows-feed", &store_service_impl::follow, false},
+    {"GET", "/yuccaplank/rows-feed", &store_service_impl::waitForChanges, false},
 }};
 
 } // namespace
--- a/src/yuccaplank/standin/store_service.hpp
+++ b/src/yuccaplank/standin/store_service.hpp
@@ -36,7 +36,7 @@
   /// Calls of all clients together.
   std::uint32_t ReadsPerSecond = 2000;
   std::uint32_t WritesPerSecond = 600;
-  runtime::duration TransactionTime = std::chrono::milliseconds(8);
+  runtime::duration TransactionDelay = std::chrono::milliseconds(8);
   std::uint64_t Seed = 1;
 };
 
--- a/src/yuccaplank/standin/task_server.cpp
+++ b/src/yuccaplank/standin/task_server.cpp
@@ -19,7 +19,7 @@
 } // namespace
 
 std::string encodeWork(const run_work &Work) {
-  return fmt::format("{} {}", Work.Cpu, runtime::toMs(Work.Time));
+  return fmt::format("{} {}", Work.Cpu, runtime::toMs(Work.Duration));
 }
 
 run_work decodeWork(const std::string &Specification) {
@@ -39,7 +39,7 @@
   return time_point(runtime::fromMs(static_cast<double>(ClockMs) / Options.ClockRate));
 }
 
-bool task_server::fenced(std::uint64_t FencingToken) {
+bool task_server::rejectStaleToken(std::uint64_t FencingToken) {
   if (FencingToken < HighestToken)
     return true;
   HighestToken = FencingToken;
@@ -47,36 +47,37 @@
 }
 
 void task_server::extendLease(time_point Now, std::int64_t LeaseEndMs) {
-  auto Longest = Now + std::chrono::duration_cast<runtime::duration>(Options.MaxLease / Options.ClockRate);
-  LeaseEnd = std::max(LeaseEnd, std::min(fromClock(LeaseEndMs), Longest));
+  auto MaxLeaseEnd =
+      Now + std::chrono::duration_cast<runtime::duration>(Options.MaxLease / Options.ClockRate);
+  LeaseEnd = std::max(LeaseEnd, std::min(fromClock(LeaseEndMs), MaxLeaseEnd));
 }
 
 order_outcome task_server::start(time_point Now, const dispatch::start_order &Order, const run_work &Work) {
   advance(Now);
-  if (fenced(Order.FencingToken))
+  if (rejectStaleToken(Order.FencingToken))
     return order_outcome::Fenced;
   if (Order.LeaseEndMs <= clockMs(Now))
     return order_outcome::LeaseOver;
   extendLease(Now, Order.LeaseEndMs);
-  auto Highest = Used.find(Order.Run.Task);
-  if (Highest != Used.end() && Order.Run.Run <= Highest->second)
+  auto Highest = HighestEndedRuns.find(Order.Run.Task);
+  if (Highest != HighestEndedRuns.end() && Order.Run.Run <= Highest->second)
     return order_outcome::Superseded;
   auto Present = Runs.find(Order.Run.Task);
   if (Present != Runs.end())
     return Present->second.Run == Order.Run.Run ? order_outcome::Accepted : order_outcome::Superseded;
-  Runs[Order.Run.Task] = {Order.Run.Run, Work, Now + Work.Time, std::nullopt};
+  Runs[Order.Run.Task] = {Order.Run.Run, Work, Now + Work.Duration, std::nullopt};
   return order_outcome::Accepted;
 }
 
 order_outcome task_server::stop(time_point Now, const dispatch::run_key &Run, std::uint64_t FencingToken) {
   advance(Now);
-  if (fenced(FencingToken))
+  if (rejectStaleToken(FencingToken))
     return order_outcome::Fenced;
-  std::uint32_t &Highest = Used[Run.Task];
+  std::uint32_t &Highest = HighestEndedRuns[Run.Task];
   Highest = std::max(Highest, Run.Run);
   auto Present = Runs.find(Run.Task);
   if (Present != Runs.end() && Present->second.Run <= Run.Run && !Present->second.StoppedAt)
-    Present->second.StoppedAt = Now + Options.StopTime;
+    Present->second.StoppedAt = Now + Options.StopDelay;
   return order_outcome::Accepted;
 }
 
@@ -85,7 +86,7 @@
   dispatch::hold_reply Reply;
   Reply.ClockMs = clockMs(Now);
   Reply.IncarnationStartMs = IncarnationStartMs;
-  if (fenced(Order.FencingToken)) {
+  if (rejectStaleToken(Order.FencingToken)) {
     Reply.Outcome = order_outcome::Fenced;
     return Reply;
   }
@@ -101,30 +102,30 @@
   return Reply;
 }
 
-void task_server::end(std::map<dispatch::task_key, running_task>::iterator Task, run_end End) {
-  std::uint32_t &Highest = Used[Task->first];
+void task_server::endRun(std::map<dispatch::task_key, running_task>::iterator Task, run_end End) {
+  std::uint32_t &Highest = HighestEndedRuns[Task->first];
   Highest = std::max(Highest, Task->second.Run);
-  Ends.push_back({++LastEnd, {Task->first, Task->second.Run}, End});
+  Ends.push_back({++LastEndNumber, {Task->first, Task->second.Run}, End});
   Runs.erase(Task);
 }
 
 void task_server::advance(time_point Now) {
   // In the order of time, so that what would have been done before the lease ended is done.
-  for (auto Due = nextEvent(); Due && *Due <= Now; Due = nextEvent()) {
+  for (auto Due = nextEventTime(); Due && *Due <= Now; Due = nextEventTime()) {
     for (auto Task = Runs.begin(); Task != Runs.end();) {
       auto Current = Task++;
       const running_task &Run = Current->second;
       if (Run.DoneAt <= *Due)
-        end(Current, Run.Work.Fails ? run_end::Failed : run_end::Done);
+        endRun(Current, Run.Work.Fails ? run_end::Failed : run_end::Done);
       else if (Run.StoppedAt && *Run.StoppedAt <= *Due)
-        end(Current, run_end::Stopped);
+        endRun(Current, run_end::Stopped);
       else if (LeaseEnd <= *Due)
-        end(Current, run_end::Lapsed);
+        endRun(Current, run_end::Lapsed);
     }
   }
 }
 
-std::optional<time_point> task_server::nextEvent() const {
+std::optional<time_point> task_server::nextEventTime() const {
   if (Runs.empty())
     return std::nullopt;
   time_point Next = LeaseEnd;
--- a/src/yuccaplank/standin/task_server.hpp
+++ b/src/yuccaplank/standin/task_server.hpp
@@ -16,7 +16,7 @@
 /// What a run takes and how long it works.
 struct run_work {
   std::uint32_t Cpu = 0;
-  runtime::duration Time{};
+  runtime::duration Duration{};
   bool Fails = false;
 };
 
@@ -28,7 +28,7 @@
 struct task_server_options {
   runtime::duration MaxLease = std::chrono::milliseconds(1000);
   /// Time from a stop order to the end.
-  runtime::duration StopTime = std::chrono::milliseconds(20);
+  runtime::duration StopDelay = std::chrono::milliseconds(20);
   /// Speed of the server's clock; 0.98 is 2 % slow.
   double ClockRate = 1;
 };
@@ -50,9 +50,9 @@
   /// Lets the time pass: ends runs that are done, stopped or without a lease.
   void advance(runtime::time_point Now);
   /// When advance() changes something next, if nothing is ordered; nothing when nothing runs.
-  [[nodiscard]] std::optional<runtime::time_point> nextEvent() const;
+  [[nodiscard]] std::optional<runtime::time_point> nextEventTime() const;
   /// Whether there are ends that have not been observed.
-  [[nodiscard]] bool hasEnds() const { return !Ends.empty(); }
+  [[nodiscard]] bool hasUnobservedEnds() const { return !Ends.empty(); }
   [[nodiscard]] std::int64_t clockMs(runtime::time_point Now) const;
   [[nodiscard]] std::uint32_t usedCpu() const;
   [[nodiscard]] std::vector<dispatch::run_key> running() const;
@@ -66,9 +66,9 @@
     std::optional<runtime::time_point> StoppedAt;
   };
 
-  bool fenced(std::uint64_t FencingToken);
+  bool rejectStaleToken(std::uint64_t FencingToken);
   void extendLease(runtime::time_point Now, std::int64_t LeaseEndMs);
-  void end(std::map<dispatch::task_key, running_task>::iterator Task, dispatch::run_end End);
+  void endRun(std::map<dispatch::task_key, running_task>::iterator Task, dispatch::run_end End);
   [[nodiscard]] runtime::time_point fromClock(std::int64_t ClockMs) const;
 
   std::int64_t IncarnationStartMs;
@@ -77,9 +77,9 @@
   runtime::time_point LeaseEnd{};
   std::map<dispatch::task_key, running_task> Runs;
   // Highest run of each task that has ended or was stopped here.
-  std::map<dispatch::task_key, std::uint32_t> Used;
+  std::map<dispatch::task_key, std::uint32_t> HighestEndedRuns;
   std::deque<dispatch::listed_end> Ends;
-  std::uint64_t LastEnd = 0;
+  std::uint64_t LastEndNumber = 0;
 };
 
 } // namespace yuccaplank::standin
--- a/src/yuccaplank/standin/worker.cpp
+++ b/src/yuccaplank/standin/worker.cpp
@@ -27,16 +27,16 @@
 constexpr int BadRequest = 400;
 constexpr int NotFound = 404;
 constexpr int Conflict = 409;
-constexpr int OtherInstance = 421;
+constexpr int MisdirectedRequest = 421;
 constexpr std::uint32_t MaxWaitMs = 2000;
-constexpr double LeastLateMs = 1000;
-constexpr double MostLateMs = 8000;
+constexpr double MinLateDelayMs = 1000;
+constexpr double MaxLateDelayMs = 8000;
 
 // Indexed by run_end.
 constexpr auto EndNames =
     std::to_array<std::string_view>({"done", "failed", "stopped", "lapsed", "broken", "alone"});
 
-std::string_view reasonOf(order_outcome Outcome) {
+std::string_view rejectReason(order_outcome Outcome) {
   switch (Outcome) {
   case order_outcome::Fenced:
     return "fence";
@@ -107,15 +107,15 @@
 
   [[nodiscard]] const worker_options &options() const override { return Options; }
   [[nodiscard]] std::string address() const override { return Options.Listen; }
-  [[nodiscard]] bool alive() const override { return State != nullptr; }
+  [[nodiscard]] bool alive() const override { return TaskServer != nullptr; }
 
-  [[nodiscard]] std::string entry(std::uint64_t Sequence, bool Draining) const override {
+  [[nodiscard]] std::string makeEntry(std::uint64_t Sequence, bool Draining) const override {
     json Entry{{"service", Options.Pool},
                {"address", Options.Listen},
                {"zone", Options.Domain},
                {"state", Draining ? "draining" : "ready"},
                {"sequence", Sequence},
-               {"born", State ? State->incarnationStartMs() : 0},
+               {"born", TaskServer ? TaskServer->incarnationStartMs() : 0},
                {"labels", {"a", Options.Rack}},
                {"capacity", {{"cpu", Options.Cpu}, {"memory_limit_mb", Options.MemoryMb}, {"gpu", 0}}}};
     return Entry.dump();
@@ -132,32 +132,32 @@
     Server = std::move(Made.value());
     std::string Ip = Options.Listen.substr(0, Options.Listen.rfind(':'));
     Options.Listen = fmt::format("{}:{}", Ip, Server->port());
-    State = std::make_unique<task_server>(Loop.clock().unixMs(), Options.Server);
+    TaskServer = std::make_unique<task_server>(Loop.clock().unixMs(), Options.Server);
     Incarnation.renew();
     return BOOST_OUTCOME_V2_NAMESPACE::success();
   }
 
   void crash() override {
     Incarnation.renew();
-    Loop.cancel(std::exchange(WatchTimer, 0));
+    Loop.cancel(std::exchange(EventTimer, 0));
     Holds.clear();
-    State.reset();
+    TaskServer.reset();
     Server.reset();
   }
 
   void setFaults(worker_faults Updated) override { Faults = Updated; }
 
-  [[nodiscard]] bool runs(const dispatch::task_key &Task) override {
-    if (!State)
+  [[nodiscard]] bool isRunning(const dispatch::task_key &Task) override {
+    if (!TaskServer)
       return false;
-    State->advance(now());
-    return std::ranges::any_of(State->running(), [&](const auto &Run) { return Run.Task == Task; });
+    TaskServer->advance(now());
+    return std::ranges::any_of(TaskServer->running(), [&](const auto &Run) { return Run.Task == Task; });
   }
   [[nodiscard]] std::uint32_t usedCpu() override {
-    if (!State)
+    if (!TaskServer)
       return 0;
-    State->advance(now());
-    return State->usedCpu();
+    TaskServer->advance(now());
+    return TaskServer->usedCpu();
   }
 
 private:
@@ -174,7 +174,7 @@
       return;
     std::string_view Expected = Request.header("expected-instance");
     if (!Expected.empty() && Expected != Options.Id)
-      return reply(Request.Token, reasonReply(OtherInstance, "instance"));
+      return reply(Request.Token, reasonReply(MisdirectedRequest, "instance"));
     if (Request.Method == "POST" && Request.Path == "/yuccaplank/run-start")
       return onStartOrder(Request);
     if (Request.Method == "POST" && Request.Path == "/yuccaplank/run-stop")
@@ -188,11 +188,11 @@
     auto Order = readOrder(Request.Body, true);
     if (!Order)
       return reply(Request.Token, reasonReply(BadRequest, "malformed"));
-    carryOut(Request.Token, [this, Order = *Order] {
-      bool Present = runs(Order.Run.Task);
+    execute(Request.Token, [this, Order = *Order] {
+      bool Present = isRunning(Order.Run.Task);
       order_outcome Outcome =
-          State->start(now(), {Order.Run, Order.Specification, Order.FencingToken, Order.LeaseEndMs},
-                       workOf(Order.Specification));
+          TaskServer->start(now(), {Order.Run, Order.Specification, Order.FencingToken, Order.LeaseEndMs},
+                            makeWork(Order.Specification));
       if (Outcome == order_outcome::Accepted && !Present)
         OnStart(Order.Run);
       return Outcome;
@@ -203,42 +203,42 @@
     auto Order = readOrder(Request.Body, false);
     if (!Order)
       return reply(Request.Token, reasonReply(BadRequest, "malformed"));
-    carryOut(Request.Token,
-             [this, Order = *Order] { return State->stop(now(), Order.Run, Order.FencingToken); });
+    execute(Request.Token,
+            [this, Order = *Order] { return TaskServer->stop(now(), Order.Run, Order.FencingToken); });
   }
 
-  [[nodiscard]] run_work workOf(const std::string &Specification) const {
+  [[nodiscard]] run_work makeWork(const std::string &Specification) const {
     run_work Work = decodeWork(Specification);
-    Work.Time = runtime::fromMs(runtime::toMs(Work.Time) * Options.Slowness * Faults.Slowdown);
+    Work.Duration = runtime::fromMs(runtime::toMs(Work.Duration) * Options.Slowness * Faults.Slowdown);
     Work.Fails = Faults.Mode == worker_mode::Failing;
     if (Faults.Mode == worker_mode::Hanging)
-      Work.Time = std::chrono::hours(1);
+      Work.Duration = std::chrono::hours(1);
     return Work;
   }
 
-  void carryOut(wire::request_token Token, std::function<order_outcome()> Order) {
+  void execute(wire::request_token Token, std::function<order_outcome()> Order) {
     if (Random.uniform() < Faults.LateOrders) {
-      carryOutLate(std::move(Order));
+      executeLate(std::move(Order));
       return;
     }
     order_outcome Outcome = Order();
-    watch();
+    scheduleNextEvent();
     if (Random.uniform() < Faults.LostAnswers)
-      return Server->drop(Token);
-    json Body{{"clock_ms", State->clockMs(now())}};
+      return Server->closeWithoutReply(Token);
+    json Body{{"clock_ms", TaskServer->clockMs(now())}};
     if (Outcome != order_outcome::Accepted)
-      Body["reason"] = reasonOf(Outcome);
+      Body["reason"] = rejectReason(Outcome);
     reply(Token, jsonReply(Outcome == order_outcome::Accepted ? Ok : Conflict, Body));
   }
 
   // Also by a new life at the address.
-  void carryOutLate(std::function<order_outcome()> Order) {
-    Loop.after(runtime::fromMs(LeastLateMs + Random.uniform() * (MostLateMs - LeastLateMs)),
+  void executeLate(std::function<order_outcome()> Order) {
+    Loop.after(runtime::fromMs(MinLateDelayMs + Random.uniform() * (MaxLateDelayMs - MinLateDelayMs)),
                Lifetime.guard([this, Order = std::move(Order)] {
-                 if (!State)
+                 if (!TaskServer)
                    return;
                  Order();
-                 watch();
+                 scheduleNextEvent();
                }));
   }
 
@@ -246,13 +246,13 @@
     auto Order = readHold(Request.Body);
     if (!Order)
       return reply(Request.Token, reasonReply(BadRequest, "malformed"));
-    auto Reply = State->hold(now(), *Order);
-    watch();
+    auto Reply = TaskServer->hold(now(), *Order);
+    scheduleNextEvent();
     if (Reply.Outcome != order_outcome::Accepted || !Reply.Ended.empty() ||
         Order->Wait <= runtime::duration::zero())
       return replyHold(Request.Token, Reply);
     Holds.push_back({Request.Token, *Order, now() + Order->Wait});
-    later(Order->Wait, [this] { answerHolds(); });
+    runAfter(Order->Wait, [this] { answerHolds(); });
   }
 
   void answerHolds() {
@@ -261,7 +261,7 @@
     for (waiting_hold &Hold : Waiting) {
       // The lease was extended when the order arrived.
       Hold.Order.LeaseEndMs.reset();
-      auto Reply = State->hold(now(), Hold.Order);
+      auto Reply = TaskServer->hold(now(), Hold.Order);
       if (Reply.Outcome == order_outcome::Accepted && Reply.Ended.empty() && now() < Hold.Until)
         Holds.push_back(Hold);
       else
@@ -270,9 +270,9 @@
   }
 
   void replyHold(wire::request_token Token, const dispatch::hold_reply &Reply) {
-    json Body{{"clock_ms", State->clockMs(now())}, {"born", Reply.IncarnationStartMs}};
+    json Body{{"clock_ms", TaskServer->clockMs(now())}, {"born", Reply.IncarnationStartMs}};
     if (Reply.Outcome != order_outcome::Accepted) {
-      Body["reason"] = reasonOf(Reply.Outcome);
+      Body["reason"] = rejectReason(Reply.Outcome);
       return reply(Token, jsonReply(Conflict, Body));
     }
     json Running = json::array();
@@ -288,17 +288,17 @@
   }
 
   // Looks again when the next run ends.
-  void watch() {
-    Loop.cancel(std::exchange(WatchTimer, 0));
-    auto Next = State->nextEvent();
+  void scheduleNextEvent() {
+    Loop.cancel(std::exchange(EventTimer, 0));
+    auto Next = TaskServer->nextEventTime();
     if (!Next)
       return;
-    WatchTimer = later(std::max(*Next - now(), runtime::duration::zero()), [this] {
-      WatchTimer = 0;
-      State->advance(now());
-      if (State->hasEnds())
+    EventTimer = runAfter(std::max(*Next - now(), runtime::duration::zero()), [this] {
+      EventTimer = 0;
+      TaskServer->advance(now());
+      if (TaskServer->hasUnobservedEnds())
         answerHolds();
-      watch();
+      scheduleNextEvent();
     });
   }
 
@@ -308,7 +308,7 @@
   }
 
   // Not carried out in another life.
-  runtime::timer_id later(runtime::duration Delay, std::function<void()> Function) {
+  runtime::timer_id runAfter(runtime::duration Delay, std::function<void()> Function) {
     return Loop.after(Delay, Incarnation.guard(std::move(Function)));
   }
 
@@ -317,12 +317,12 @@
   worker_options Options;
   std::function<void(const dispatch::run_key &)> OnStart;
   worker_faults Faults;
-  std::unique_ptr<task_server> State;
+  std::unique_ptr<task_server> TaskServer;
   std::unique_ptr<wire::http_server> Server;
   std::vector<waiting_hold> Holds;
   // Ends with each crash.
   runtime::lifetime Incarnation;
-  runtime::timer_id WatchTimer = 0;
+  runtime::timer_id EventTimer = 0;
   runtime::lifetime Lifetime;
 };
 
--- a/src/yuccaplank/standin/worker.hpp
+++ b/src/yuccaplank/standin/worker.hpp
@@ -55,7 +55,7 @@
   /// Address of the latest life.
   [[nodiscard]] virtual std::string address() const = 0;
   /// What the worker writes about itself into the store.
-  [[nodiscard]] virtual std::string entry(std::uint64_t Sequence, bool Draining) const = 0;
+  [[nodiscard]] virtual std::string makeEntry(std::uint64_t Sequence, bool Draining) const = 0;
   [[nodiscard]] virtual bool alive() const = 0;
   /// Ends without a word: connections close and everything is forgotten.
   virtual void crash() = 0;
@@ -63,7 +63,7 @@
   virtual runtime::result<void> start() = 0;
   virtual void setFaults(worker_faults Faults) = 0;
   /// Whether a run of the task is at work now.
-  [[nodiscard]] virtual bool runs(const dispatch::task_key &Task) = 0;
+  [[nodiscard]] virtual bool isRunning(const dispatch::task_key &Task) = 0;
   [[nodiscard]] virtual std::uint32_t usedCpu() = 0;
 };
 
--- a/src/yuccaplank/testing/scripted_http_client.hpp
+++ b/src/yuccaplank/testing/scripted_http_client.hpp
@@ -33,7 +33,7 @@
       : Executor(Executor), Script(std::move(Script)) {}
 
   wire::call_id call(wire::http_call Call, std::function<void(wire::http_call_result)> OnDone) override;
-  void abandon(wire::call_id Call) override { Abandoned.insert(Call); }
+  void cancel(wire::call_id Call) override { Abandoned.insert(Call); }
   [[nodiscard]] std::size_t connections(const std::string & /*Address*/) const override { return 0; }
 
   /// All calls in order.
--- a/src/yuccaplank/wire/document_reader.cpp
+++ b/src/yuccaplank/wire/document_reader.cpp
@@ -40,7 +40,7 @@
 };
 
 // Values of one object that is being read.
-struct frame {
+struct object_frame {
   Message *Target = nullptr;
   // Field of the current key; null for an unknown key.
   const FieldDescriptor *Field = nullptr;
@@ -59,28 +59,28 @@
   line_counter &lines() { return Lines; }
   std::vector<document_issue> takeIssues() { return std::move(Issues); }
   // Records the line of each key and array element by its path.
-  void recordLines(std::map<std::string, int> *Map) { LineOfPath = Map; }
+  void recordLines(std::map<std::string, int> *Map) { LinesByPath = Map; }
 
   // Events of nlohmann's SAX interface, which fixes their names.
   // NOLINTBEGIN(readability-identifier-naming)
   bool null() {
-    return scalar([this](const FieldDescriptor &Field) { wrongType(Field); });
+    return handleScalar([this](const FieldDescriptor &Field) { addWrongType(Field); });
   }
   bool boolean(bool Value) {
-    return scalar([this, Value](const FieldDescriptor &Field) {
+    return handleScalar([this, Value](const FieldDescriptor &Field) {
       if (Field.cpp_type() != FieldDescriptor::CPPTYPE_BOOL)
-        return wrongType(Field);
+        return addWrongType(Field);
       writer(Field).put(&google::protobuf::Reflection::SetBool, &google::protobuf::Reflection::AddBool,
                         Value);
     });
   }
-  bool number_integer(std::int64_t Value) { return integer(Value); }
-  bool number_unsigned(std::uint64_t Value) { return integer(Value); }
+  bool number_integer(std::int64_t Value) { return handleInteger(Value); }
+  bool number_unsigned(std::uint64_t Value) { return handleInteger(Value); }
   bool number_float(double Value, const std::string & /*Literal*/) {
-    return scalar([this, Value](const FieldDescriptor &Field) { putFloat(Field, Value); });
+    return handleScalar([this, Value](const FieldDescriptor &Field) { putFloat(Field, Value); });
   }
   bool string(std::string &Value) {
-    return scalar([this, &Value](const FieldDescriptor &Field) { putString(Field, Value); });
+    return handleScalar([this, &Value](const FieldDescriptor &Field) { putString(Field, Value); });
   }
   bool binary(json::binary_t & /*Value*/) { return false; }
 
@@ -94,10 +94,10 @@
       return true;
     }
     const FieldDescriptor *Field = beginValue();
-    if (Field == nullptr || !elementAllowed(*Field) ||
+    if (Field == nullptr || !acceptsElement(*Field) ||
         Field->cpp_type() != FieldDescriptor::CPPTYPE_MESSAGE) {
       if (Field != nullptr)
-        wrongType(*Field);
+        addWrongType(*Field);
       SkipDepth = 1;
       return true;
     }
@@ -110,19 +110,19 @@
   bool key(std::string &Name) {
     if (SkipDepth > 0)
       return true;
-    frame &Top = Frames.back();
+    object_frame &Top = Frames.back();
     const Descriptor &Type = *Top.Target->GetDescriptor();
     Top.Field = Type.FindFieldByName(Name);
     if (Top.Field == nullptr) {
       Top.UnknownKey = Name;
-      issue(errc::UnknownField, fieldNames(Type));
+      addIssue(errc::UnknownField, fieldNames(Type));
       return true;
     }
-    if (LineOfPath != nullptr)
-      LineOfPath->emplace(path(), Lines.line());
+    if (LinesByPath != nullptr)
+      LinesByPath->emplace(path(), Lines.line());
     auto Seen = Top.Seen[Top.Field->index()];
     if (Seen) {
-      issue(errc::MalformedDocument, "each key once");
+      addIssue(errc::MalformedDocument, "each key once");
       Top.UnknownKey = Name;
       Top.Field = nullptr;
       return true;
@@ -140,14 +140,14 @@
       return true;
     }
     if (Frames.empty()) {
-      issue(errc::WrongType, "object");
+      addIssue(errc::WrongType, "object");
       SkipDepth = 1;
       return true;
     }
     const FieldDescriptor *Field = beginValue();
     if (Field == nullptr || !Field->is_repeated() || Frames.back().InArray) {
       if (Field != nullptr)
-        wrongType(*Field);
+        addWrongType(*Field);
       SkipDepth = 1;
       return true;
     }
@@ -164,16 +164,16 @@
     constexpr std::string_view Marker = "expected ";
     std::size_t Found = Text.rfind(Marker);
     // "unexpected …" is no expectation.
-    bool Names = Found != std::string_view::npos && (Found == 0 || Text[Found - 1] == ' ');
-    issue(errc::MalformedDocument,
-          Names ? std::string(Text.substr(Found + Marker.size())) : std::string("JSON"));
+    bool HasExpectation = Found != std::string_view::npos && (Found == 0 || Text[Found - 1] == ' ');
+    addIssue(errc::MalformedDocument,
+             HasExpectation ? std::string(Text.substr(Found + Marker.size())) : std::string("JSON"));
     return false;
   }
   // NOLINTEND(readability-identifier-naming)
 
 private:
   void push(Message &Target) {
-    frame Next;
+    object_frame Next;
     Next.Target = &Target;
     Next.Seen.resize(Target.GetDescriptor()->field_count());
     Frames.push_back(std::move(Next));
@@ -192,45 +192,45 @@
 
   // Field that the next value belongs to.
   const FieldDescriptor *beginValue() {
-    frame &Top = Frames.back();
-    if (Top.InArray && LineOfPath != nullptr)
-      LineOfPath->emplace(path(), Lines.line());
+    object_frame &Top = Frames.back();
+    if (Top.InArray && LinesByPath != nullptr)
+      LinesByPath->emplace(path(), Lines.line());
     return Top.Field;
   }
   void endValue() {
     if (!Frames.empty() && Frames.back().InArray)
       ++Frames.back().Index;
   }
-  [[nodiscard]] bool elementAllowed(const FieldDescriptor &Field) const {
+  [[nodiscard]] bool acceptsElement(const FieldDescriptor &Field) const {
     return Field.is_repeated() == Frames.back().InArray;
   }
 
-  template <typename Function> bool scalar(Function Put) {
+  template <typename Function> bool handleScalar(Function Put) {
     if (SkipDepth > 0)
       return true;
     if (Frames.empty()) {
-      issue(errc::WrongType, "object");
+      addIssue(errc::WrongType, "object");
       return true;
     }
     const FieldDescriptor *Field = beginValue();
     if (Field != nullptr) {
-      if (elementAllowed(*Field))
+      if (acceptsElement(*Field))
         Put(*Field);
       else
-        wrongType(*Field);
+        addWrongType(*Field);
     }
     endValue();
     return true;
   }
 
-  template <typename Value> bool integer(Value Number) {
-    return scalar([this, Number](const FieldDescriptor &Field) { putInteger(Field, Number); });
+  template <typename Value> bool handleInteger(Value Number) {
+    return handleScalar([this, Number](const FieldDescriptor &Field) { putInteger(Field, Number); });
   }
 
   template <typename Target, typename Value, typename Setter, typename Adder>
-  void putRanged(const FieldDescriptor &Field, Value Number, Setter Set, Adder Add) {
+  void putIntegerInRange(const FieldDescriptor &Field, Value Number, Setter Set, Adder Add) {
     if (!std::in_range<Target>(Number))
-      return issue(errc::OutOfRange, integerRange<Target>());
+      return addIssue(errc::OutOfRange, integerRange<Target>());
     writer(Field).put(Set, Add, static_cast<Target>(Number));
   }
 
@@ -238,13 +238,13 @@
     using google::protobuf::Reflection;
     switch (Field.cpp_type()) {
     case FieldDescriptor::CPPTYPE_INT32:
-      return putRanged<std::int32_t>(Field, Number, &Reflection::SetInt32, &Reflection::AddInt32);
+      return putIntegerInRange<std::int32_t>(Field, Number, &Reflection::SetInt32, &Reflection::AddInt32);
     case FieldDescriptor::CPPTYPE_INT64:
-      return putRanged<std::int64_t>(Field, Number, &Reflection::SetInt64, &Reflection::AddInt64);
+      return putIntegerInRange<std::int64_t>(Field, Number, &Reflection::SetInt64, &Reflection::AddInt64);
     case FieldDescriptor::CPPTYPE_UINT32:
-      return putRanged<std::uint32_t>(Field, Number, &Reflection::SetUInt32, &Reflection::AddUInt32);
+      return putIntegerInRange<std::uint32_t>(Field, Number, &Reflection::SetUInt32, &Reflection::AddUInt32);
     case FieldDescriptor::CPPTYPE_UINT64:
-      return putRanged<std::uint64_t>(Field, Number, &Reflection::SetUInt64, &Reflection::AddUInt64);
+      return putIntegerInRange<std::uint64_t>(Field, Number, &Reflection::SetUInt64, &Reflection::AddUInt64);
     default:
       return putFloat(Field, static_cast<double>(Number));
     }
@@ -257,16 +257,17 @@
       return writer(Field).put(&Reflection::SetDouble, &Reflection::AddDouble, Number);
     case FieldDescriptor::CPPTYPE_FLOAT:
       if (std::abs(Number) > std::numeric_limits<float>::max())
-        return issue(errc::OutOfRange, "number");
+        return addIssue(errc::OutOfRange, "number");
       return writer(Field).put(&Reflection::SetFloat, &Reflection::AddFloat, static_cast<float>(Number));
     case FieldDescriptor::CPPTYPE_INT32:
     case FieldDescriptor::CPPTYPE_INT64:
     case FieldDescriptor::CPPTYPE_UINT32:
     case FieldDescriptor::CPPTYPE_UINT64:
       // Integers of more than 64 bits arrive as floating-point numbers too.
-      return issue(std::abs(Number) >= 0x1p63 ? errc::OutOfRange : errc::WrongType, expectedElement(Field));
+      return addIssue(std::abs(Number) >= 0x1p63 ? errc::OutOfRange : errc::WrongType,
+                      expectedElement(Field));
     default:
-      return wrongType(Field);
+      return addWrongType(Field);
     }
   }
 
@@ -275,10 +276,10 @@
     if (Field.cpp_type() == FieldDescriptor::CPPTYPE_STRING)
       return writer(Field).put(&Reflection::SetString, &Reflection::AddString, std::move(Value));
     if (Field.cpp_type() != FieldDescriptor::CPPTYPE_ENUM)
-      return wrongType(Field);
+      return addWrongType(Field);
     const auto *EnumValue = Field.enum_type()->FindValueByName(Value);
     if (EnumValue == nullptr)
-      return issue(errc::OutOfRange, enumNames(Field));
+      return addIssue(errc::OutOfRange, enumNames(Field));
     writer(Field).put(&Reflection::SetEnum, &Reflection::AddEnum, EnumValue);
   }
 
@@ -286,18 +287,18 @@
     return {*Frames.back().Target, Field};
   }
 
-  void wrongType(const FieldDescriptor &Field) {
-    bool WantsArray = Field.is_repeated() && !Frames.back().InArray;
-    issue(errc::WrongType, WantsArray ? "array" : expectedElement(Field));
+  void addWrongType(const FieldDescriptor &Field) {
+    bool ArrayExpected = Field.is_repeated() && !Frames.back().InArray;
+    addIssue(errc::WrongType, ArrayExpected ? "array" : expectedElement(Field));
   }
-  void issue(errc Code, std::string Expected) {
+  void addIssue(errc Code, std::string Expected) {
     if (Issues.size() < MaxIssues)
       Issues.push_back({Code, path(), Lines.line(), std::move(Expected)});
   }
 
   [[nodiscard]] std::string path() const {
     std::string Path;
-    for (const frame &Frame : Frames) {
+    for (const object_frame &Frame : Frames) {
       std::string_view Name =
           Frame.Field != nullptr ? std::string_view(Frame.Field->name()) : std::string_view(Frame.UnknownKey);
       if (Name.empty())
@@ -313,11 +314,11 @@
 
   line_counter Lines;
   Message &Root;
-  std::vector<frame> Frames;
+  std::vector<object_frame> Frames;
   // Containers entered since the value that is passed over began.
   int SkipDepth = 0;
   std::vector<document_issue> Issues;
-  std::map<std::string, int> *LineOfPath = nullptr;
+  std::map<std::string, int> *LinesByPath = nullptr;
 };
 
 void parse(std::string_view Text, message_builder &Builder) {
@@ -328,13 +329,13 @@
 }
 
 // Line of a path, or of the nearest object around it.
-int lineOf(const std::map<std::string, int> &Lines, std::string Path) {
+int findLine(const std::map<std::string, int> &Lines, std::string Path) {
   while (!Path.empty()) {
     auto Found = Lines.find(Path);
     if (Found != Lines.end())
       return Found->second;
-    std::size_t Cut = Path.find_last_of(".[");
-    Path.resize(Cut == std::string::npos ? 0 : Cut);
+    std::size_t Separator = Path.find_last_of(".[");
+    Path.resize(Separator == std::string::npos ? 0 : Separator);
   }
   return 1;
 }
@@ -357,7 +358,7 @@
   Builder.recordLines(&Lines);
   parse(Text, Builder);
   for (document_issue &Issue : Issues)
-    Issue.Line = lineOf(Lines, Issue.Path);
+    Issue.Line = findLine(Lines, Issue.Path);
 }
 
 } // namespace yuccaplank::wire
--- a/src/yuccaplank/wire/expected_values.cpp
+++ b/src/yuccaplank/wire/expected_values.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // Names of the elements of a descriptor, which Element returns by index.
-template <typename Function> std::string oneOf(int Count, Function Element) {
+template <typename Function> std::string formatOneOf(int Count, Function Element) {
   std::string Text;
   for (int Index = 0; Index < Count; ++Index)
     Text += (Index > 0 ? ", " : "one of ") + std::string(Element(Index)->name());
@@ -21,11 +21,11 @@
 
 std::string enumNames(const FieldDescriptor &Field) {
   const auto &Type = *Field.enum_type();
-  return oneOf(Type.value_count(), [&](int Index) { return Type.value(Index); });
+  return formatOneOf(Type.value_count(), [&](int Index) { return Type.value(Index); });
 }
 
 std::string fieldNames(const Descriptor &Type) {
-  return oneOf(Type.field_count(), [&](int Index) { return Type.field(Index); });
+  return formatOneOf(Type.field_count(), [&](int Index) { return Type.field(Index); });
 }
 
 std::string expectedElement(const FieldDescriptor &Field) {
--- a/src/yuccaplank/wire/fuzz/fuzz_targets.cpp
+++ b/src/yuccaplank/wire/fuzz/fuzz_targets.cpp
@@ -39,7 +39,8 @@
   require(writeDocument(Second) == Written, "a document is the same after writing and reading");
 }
 
-template <typename Message> std::vector<document_issue> readAny(std::string_view Text, Message &Target) {
+template <typename Message>
+std::vector<document_issue> readAnyMessage(std::string_view Text, Message &Target) {
   return readDocument(Text, Target);
 }
 
@@ -47,21 +48,21 @@
   return readSettings(Text, Target);
 }
 
-std::string_view textOf(const std::uint8_t *Data, std::size_t Size) {
+std::string_view toText(const std::uint8_t *Data, std::size_t Size) {
   return {reinterpret_cast<const char *>(Data), Size};
 }
 
 } // namespace
 
 int fuzzSettings(const std::uint8_t *Data, std::size_t Size) {
-  std::string_view Text = textOf(Data, Size);
+  std::string_view Text = toText(Data, Size);
   checkReader<schema::daemon_settings>(Text, readDaemonSettings);
-  checkReader<schema::daemon_settings>(Text, readAny);
+  checkReader<schema::daemon_settings>(Text, readAnyMessage);
   return 0;
 }
 
 int fuzzJob(const std::uint8_t *Data, std::size_t Size) {
-  checkReader<schema::job_document>(textOf(Data, Size), readAny);
+  checkReader<schema::job_document>(toText(Data, Size), readAnyMessage);
   return 0;
 }
 
--- a/src/yuccaplank/wire/fuzz/peer_reader.cpp
+++ b/src/yuccaplank/wire/fuzz/peer_reader.cpp
@@ -21,23 +21,23 @@
   return peer_protocol(std::move(Options));
 }
 
-void authenticate(peer_protocol &Reader, peer_protocol &Partner) {
-  Reader.feed(Partner.hello());
-  Partner.feed(Reader.hello());
+void authenticate(peer_protocol &Reader, peer_protocol &Peer) {
+  Reader.feed(Peer.helloFrame());
+  Peer.feed(Reader.helloFrame());
   (void)Reader.next();
-  (void)Partner.next();
-  Reader.feed(Partner.takeReply());
+  (void)Peer.next();
+  Reader.feed(Peer.takeHandshakeOutput());
   (void)Reader.next();
 }
 
 // Whether the reader kept its rules; sets Ended when it found an error.
-bool drain(peer_protocol &Reader, bool KnowsKey, bool &Ended) {
+bool readEnvelopes(peer_protocol &Reader, bool KnowsKey, bool &Failed) {
   while (true) {
     auto Next = Reader.next();
     if (Reader.authenticated() && !KnowsKey)
       return false;
-    Ended = !Next;
-    if (Ended || !Next.value())
+    Failed = !Next;
+    if (Failed || !Next.value())
       return true;
     if (!KnowsKey || Next.value()->has_hello() || Next.value()->has_hello_proof())
       return false;
@@ -53,18 +53,18 @@
   std::string_view Input(reinterpret_cast<const char *>(Data + 1), Size - 1);
   bool IsServer = (Selector & 1U) != 0;
   bool KnowsKey = (Selector & 2U) != 0;
-  std::size_t Piece = std::size_t(1) << (3 * ((Selector >> 2U) & 7U));
+  std::size_t ChunkBytes = std::size_t(1) << (3 * ((Selector >> 2U) & 7U));
   auto Reader = makeProtocol(IsServer ? peer_role::Server : peer_role::Client, "vm1", 'r');
   if (KnowsKey) {
-    auto Partner = makeProtocol(IsServer ? peer_role::Client : peer_role::Server, "vm2", 'p');
-    authenticate(Reader, Partner);
+    auto Peer = makeProtocol(IsServer ? peer_role::Client : peer_role::Server, "vm2", 'p');
+    authenticate(Reader, Peer);
   }
-  bool Ended = false;
-  while (!Input.empty() && !Ended) {
-    std::size_t Count = std::min(Piece, Input.size());
+  bool Failed = false;
+  while (!Input.empty() && !Failed) {
+    std::size_t Count = std::min(ChunkBytes, Input.size());
     Reader.feed(Input.substr(0, Count));
     Input.remove_prefix(Count);
-    if (!drain(Reader, KnowsKey, Ended))
+    if (!readEnvelopes(Reader, KnowsKey, Failed))
       return 1;
   }
   return 0;
--- a/src/yuccaplank/wire/fuzz/peer_reader_test.cpp
+++ b/src/yuccaplank/wire/fuzz/peer_reader_test.cpp
@@ -44,7 +44,7 @@
   return Text;
 }
 
-void assertAccepted(const std::string &Input) {
+void assertRulesKept(const std::string &Input) {
   int Result = wire::fuzzPeerReader(reinterpret_cast<const std::uint8_t *>(Input.data()), Input.size());
   CPPUNIT_ASSERT_EQUAL_MESSAGE(toHex(Input), 0, Result);
 }
@@ -54,38 +54,39 @@
   explicit mutator(std::vector<std::string> Corpus) : Corpus(std::move(Corpus)), Random(Seed) {}
 
   std::string mutate(std::string Text) {
-    for (std::size_t Change = 0; Change <= below(MaxChangesPerMutation); ++Change)
-      changeOnce(Text);
+    for (std::size_t Change = 0; Change <= randomBelow(MaxChangesPerMutation); ++Change)
+      mutateOnce(Text);
     Text.resize(std::min(Text.size(), MaxInputBytes));
     return Text;
   }
 
 private:
-  std::size_t below(std::size_t Limit) { return Limit == 0 ? 0 : Random.next() % Limit; }
+  std::size_t randomBelow(std::size_t Limit) { return Limit == 0 ? 0 : Random.next() % Limit; }
 
-  void changeOnce(std::string &Text) {
-    std::size_t Position = below(Text.size());
-    switch (below(6)) {
+  void mutateOnce(std::string &Text) {
+    std::size_t Position = randomBelow(Text.size());
+    switch (randomBelow(6)) {
     case 0:
       if (!Text.empty())
         Text[Position] = static_cast<char>(Random.next());
       break;
     case 1:
       if (!Text.empty())
-        Text[Position] = static_cast<char>(static_cast<unsigned char>(Text[Position]) ^ (1U << below(8)));
+        Text[Position] =
+            static_cast<char>(static_cast<unsigned char>(Text[Position]) ^ (1U << randomBelow(8)));
       break;
     case 2:
       Text.insert(Position, 1, static_cast<char>(Random.next()));
       break;
     case 3:
-      Text.erase(Position, below(8));
+      Text.erase(Position, randomBelow(8));
       break;
     case 4:
       Text.resize(Position);
       break;
     default: {
-      const std::string &Other = Corpus[below(Corpus.size())];
-      Text.insert(Position, Other, below(Other.size()), below(64));
+      const std::string &Other = Corpus[randomBelow(Corpus.size())];
+      Text.insert(Position, Other, randomBelow(Other.size()), randomBelow(64));
       break;
     }
     }
@@ -101,12 +102,12 @@
   CPPUNIT_ASSERT(Corpus.size() >= 10);
   if (auto Given = section("given the corpus"))
     for (const std::string &Input : Corpus)
-      assertAccepted(Input);
+      assertRulesKept(Input);
   if (auto Given = section("given mutations of the corpus")) {
     mutator Mutator(Corpus);
     for (const std::string &Input : Corpus)
       for (int Index = 0; Index < MutationsPerInput; ++Index)
-        assertAccepted(Mutator.mutate(Input));
+        assertRulesKept(Mutator.mutate(Input));
   }
 });
 
--- a/src/yuccaplank/wire/hangup_watch.cpp
+++ b/src/yuccaplank/wire/hangup_watch.cpp
@@ -28,8 +28,9 @@
     return std::error_code(errno, std::system_category());
   Socket = h2o_evloop_socket_create(Loop.native(), Fd, H2O_SOCKET_FLAG_DONT_READ);
   Socket->data = this;
-  h2o_socket_read_start(
-      Socket, [](h2o_socket_t *Ready, const char *) { static_cast<hangup_watch *>(Ready->data)->read(); });
+  h2o_socket_read_start(Socket, [](h2o_socket_t *Ready, const char *) {
+    static_cast<hangup_watch *>(Ready->data)->readEvents();
+  });
   return BOOST_OUTCOME_V2_NAMESPACE::success();
 }
 
@@ -40,7 +41,7 @@
   epoll_ctl(Fd, EPOLL_CTL_ADD, Connection, &Event);
 }
 
-void hangup_watch::read() const {
+void hangup_watch::readEvents() const {
   std::array<epoll_event, MaxEvents> Events{};
   int Count = epoll_wait(Fd, Events.data(), MaxEvents, 0);
   for (int Index = 0; Index < Count; ++Index)
--- a/src/yuccaplank/wire/hangup_watch.hpp
+++ b/src/yuccaplank/wire/hangup_watch.hpp
@@ -27,7 +27,7 @@
   void add(int Connection, std::uint64_t Id) const;
 
 private:
-  void read() const;
+  void readEvents() const;
 
   runtime::loop &Loop;
   std::function<void(std::uint64_t)> OnHangup;
--- a/src/yuccaplank/wire/http_client.cpp
+++ b/src/yuccaplank/wire/http_client.cpp
@@ -70,13 +70,13 @@
 std::string_view view(const h2o_iovec_t &Text) { return {Text.base, Text.len}; }
 
 // A line break in a header would let its value end the header section.
-bool holdsLineBreak(std::string_view Text) { return Text.find_first_of("\r\n") != std::string_view::npos; }
+bool containsLineBreak(std::string_view Text) { return Text.find_first_of("\r\n") != std::string_view::npos; }
 
-bool wellFormed(const http_call &Call) {
-  return !holdsLineBreak(Call.Method) && !holdsLineBreak(Call.Host) &&
+bool isWellFormed(const http_call &Call) {
+  return !containsLineBreak(Call.Method) && !containsLineBreak(Call.Host) &&
          Call.Path.find_first_of("\r\n ") == std::string::npos &&
          std::ranges::none_of(Call.Headers, [](const http_header &Header) {
-           return holdsLineBreak(Header.Name) || holdsLineBreak(Header.Value);
+           return containsLineBreak(Header.Name) || containsLineBreak(Header.Value);
          });
 }
 
@@ -96,7 +96,7 @@
 
 // A body that ends with the connection cannot be told from one that was cut off, and two lengths may
 // disagree.
-bool lengthIsCertain(const http_call_result &Result) {
+bool hasUnambiguousLength(const http_call_result &Result) {
   return std::ranges::count_if(Result.Headers, [](const http_header &Header) {
            return Header.Name == "content-length" || Header.Name == "transfer-encoding";
          }) == 1;
@@ -129,7 +129,7 @@
     Exchanges.emplace(Exchange.Id, std::move(Owned));
     connection_pool &Pool = poolFor(Call.Address);
     Pool.LastUsed = Loop.clock().now();
-    if (!Pool.Valid || !wellFormed(Call)) {
+    if (!Pool.Valid || !isWellFormed(Call)) {
       fail(Exchange, errc::MalformedDocument);
       return Exchange.Id;
     }
@@ -145,7 +145,7 @@
     return Exchange.Id;
   }
 
-  void abandon(call_id Call) override {
+  void cancel(call_id Call) override {
     auto Found = Exchanges.find(Call);
     if (Found == Exchanges.end())
       return;
@@ -159,11 +159,11 @@
   }
 
 private:
-  static exchange &exchangeOf(h2o_http1client_t *Native) { return *static_cast<exchange *>(Native->data); }
+  static exchange &getExchange(h2o_http1client_t *Native) { return *static_cast<exchange *>(Native->data); }
 
   static h2o_http1client_head_cb onConnect(h2o_http1client_t *Native, const char *Error,
                                            h2o_iovec_t **Buffers, std::size_t *BufferCount, int *IsHead) {
-    exchange &Exchange = exchangeOf(Native);
+    exchange &Exchange = getExchange(Native);
     if (Error) {
       Exchange.Native = nullptr;
       Exchange.Owner->fail(Exchange, errc::ConnectFailed);
@@ -185,7 +185,7 @@
 
   static h2o_http1client_body_cb onHead(h2o_http1client_t *Native, const char *Error, int, int Status,
                                         h2o_iovec_t, h2o_header_t *Headers, std::size_t HeaderCount, int) {
-    exchange &Exchange = exchangeOf(Native);
+    exchange &Exchange = getExchange(Native);
     bool AtEnd = Error == h2o_http1client_error_is_eos;
     if (Error && !AtEnd) {
       Exchange.Native = nullptr;
@@ -204,7 +204,7 @@
       Exchange.Owner->succeed(Exchange);
       return nullptr;
     }
-    if (!lengthIsCertain(Exchange.Result)) {
+    if (!hasUnambiguousLength(Exchange.Result)) {
       Exchange.Native = nullptr;
       Exchange.Owner->fail(Exchange, errc::ConnectionLost);
       return nullptr;
@@ -213,7 +213,7 @@
   }
 
   static int onBody(h2o_http1client_t *Native, const char *Error) {
-    exchange &Exchange = exchangeOf(Native);
+    exchange &Exchange = getExchange(Native);
     bool AtEnd = Error == h2o_http1client_error_is_eos;
     // h2o also reports the end of a chunked body when the connection closes between two chunks; then nothing
     // has been read this time.
@@ -256,16 +256,16 @@
   }
 
   // A pool must outlive the connects it has begun, which hold no connection yet.
-  [[nodiscard]] duration poolRetention() const {
+  [[nodiscard]] duration poolRetentionTime() const {
     return PoolRetentionFactor * Options.IdleTimeout + Options.ConnectTimeout;
   }
 
   void startPruning() {
-    PruneTimer = Loop.after(poolRetention(), [this] {
+    PruneTimer = Loop.after(poolRetentionTime(), [this] {
       PruneTimer = 0;
-      runtime::time_point Latest = Loop.clock().now() - poolRetention();
+      runtime::time_point Cutoff = Loop.clock().now() - poolRetentionTime();
       std::erase_if(Pools, [&](const auto &Entry) {
-        return Entry.second->Native._shared.count == 0 && Entry.second->LastUsed <= Latest;
+        return Entry.second->Native._shared.count == 0 && Entry.second->LastUsed <= Cutoff;
       });
       if (!Pools.empty())
         startPruning();
@@ -310,7 +310,7 @@
       Loop.cancel(std::exchange(Exchange.Timer, 0));
     Finished.push_back(Exchange.Id);
     if (Finished.size() == 1)
-      Loop.post([this, Weak = std::weak_ptr<int>(Alive)] {
+      Loop.post([this, Weak = std::weak_ptr<int>(AliveToken)] {
         if (!Weak.expired())
           deliver();
       });
@@ -319,7 +319,7 @@
   void deliver() {
     std::vector<call_id> Batch;
     Batch.swap(Finished);
-    std::weak_ptr<int> Weak = Alive;
+    std::weak_ptr<int> Weak = AliveToken;
     for (call_id Id : Batch) {
       auto Found = Exchanges.find(Id);
       if (Found == Exchanges.end())
@@ -349,7 +349,7 @@
   std::vector<call_id> Finished;
   runtime::timer_id PruneTimer = 0;
   call_id LastCall = 0;
-  std::shared_ptr<int> Alive = std::make_shared<int>(0);
+  std::shared_ptr<int> AliveToken = std::make_shared<int>(0);
 };
 
 } // namespace
--- a/src/yuccaplank/wire/http_client_test.cpp
+++ b/src/yuccaplank/wire/http_client_test.cpp
@@ -23,10 +23,10 @@
 }
 
 // Reads one request and never answers.
-void stall(raw_socket &Socket) { static_cast<void>(Socket.closedByPeer()); }
+void neverAnswer(raw_socket &Socket) { static_cast<void>(Socket.closedByPeer()); }
 
-struct call_site {
-  explicit call_site(http_client_options Options = {}) : Client(makeHttpClient(*Loop, Options)) {}
+struct client_fixture {
+  explicit client_fixture(http_client_options Options = {}) : Client(makeHttpClient(*Loop, Options)) {}
 
   std::unique_ptr<yuccaplank::runtime::loop> Loop = yuccaplank::runtime::makeLoop();
   std::unique_ptr<http_client> Client;
@@ -66,15 +66,15 @@
   scripted_server Server({[&](raw_socket &Socket) {
     Seen = Socket.receiveMessage();
     Socket.send(Answer);
-    stall(Socket);
+    neverAnswer(Socket);
   }});
-  call_site Site;
+  client_fixture Fixture;
   http_call Call = get(Server);
   Call.Method = std::string("POST");
   Call.Path = std::string("/a?b=c");
   Call.Headers = {{"x-one", "1"}};
   Call.Body = std::string("a\0b", 3);
-  const http_call_result &Result = Site.run(Call);
+  const http_call_result &Result = Fixture.run(Call);
   CPPUNIT_ASSERT(!Result.Error);
   CPPUNIT_ASSERT_EQUAL(200, Result.Status);
   CPPUNIT_ASSERT_EQUAL(std::string("Plain"), std::string(Result.header("x-kind")));
@@ -92,11 +92,11 @@
   // the third.
   Options.IdleTimeout = 10s;
   scripted_server Server({answerAll, answerAll, answerAll, answerAll});
-  call_site Site(Options);
-  auto Connections = [&] { return Site.Client->connections(Server.address()); };
+  client_fixture Fixture(Options);
+  auto Connections = [&] { return Fixture.Client->connections(Server.address()); };
   if (auto When = section("when calls follow each other")) {
     for (int Count = 0; Count < 3; ++Count)
-      CPPUNIT_ASSERT(!Site.run(get(Server)).Error);
+      CPPUNIT_ASSERT(!Fixture.run(get(Server)).Error);
     CPPUNIT_ASSERT_EQUAL(1, Server.accepted());
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Connections());
   }
@@ -104,16 +104,16 @@
     int Left = 5;
     std::function<void(http_call_result)> Next = [&](const http_call_result &) {
       if (--Left > 0)
-        Site.Client->call(get(Server), Next);
+        Fixture.Client->call(get(Server), Next);
     };
-    Site.Client->call(get(Server), Next);
-    runUntil(*Site.Loop, [&] { return Left == 0; });
+    Fixture.Client->call(get(Server), Next);
+    runUntil(*Fixture.Loop, [&] { return Left == 0; });
     CPPUNIT_ASSERT_EQUAL(1, Server.accepted());
   }
   if (auto When = section("when calls overlap")) {
     for (int Key = 0; Key < 3; ++Key)
-      Site.start(Key, get(Server));
-    Site.waitFor(3);
+      Fixture.start(Key, get(Server));
+    Fixture.waitFor(3);
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, Connections());
     CPPUNIT_ASSERT_EQUAL(3, Server.accepted());
   }
@@ -124,16 +124,16 @@
   http_client_options Options;
   Options.IdleTimeout = 200ms;
   scripted_server Server({answerAll, answerAll, answerAll, answerAll});
-  call_site Site(Options);
+  client_fixture Fixture(Options);
   if (auto When = section("when a connection was idle for the idle time-out")) {
-    Site.run(get(Server));
-    runFor(*Site.Loop, 300ms);
-    CPPUNIT_ASSERT(!Site.run(get(Server)).Error);
+    Fixture.run(get(Server));
+    runFor(*Fixture.Loop, 300ms);
+    CPPUNIT_ASSERT(!Fixture.run(get(Server)).Error);
     CPPUNIT_ASSERT_EQUAL_MESSAGE("not used again", 2, Server.accepted());
   }
   if (auto When = section("when no further call is made")) {
-    Site.run(get(Server));
-    runUntil(*Site.Loop, [&] { return Site.Client->connections(Server.address()) == 0; });
+    Fixture.run(get(Server));
+    runUntil(*Fixture.Loop, [&] { return Fixture.Client->connections(Server.address()) == 0; });
   }
 });
 
@@ -143,12 +143,12 @@
   Options.IdleTimeout = 20ms;
   Options.ConnectTimeout = 100ms;
   scripted_server Server({answerAll, answerAll});
-  call_site Site(Options);
-  Site.run(get(Server));
+  client_fixture Fixture(Options);
+  Fixture.run(get(Server));
   // h2o closes idle connections within 1 s, and the pool goes 10 idle time-outs and a connect time-out later.
-  runFor(*Site.Loop, 2s);
-  CPPUNIT_ASSERT(!Site.run(get(Server)).Error);
-  CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Site.Client->connections(Server.address()));
+  runFor(*Fixture.Loop, 2s);
+  CPPUNIT_ASSERT(!Fixture.run(get(Server)).Error);
+  CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Fixture.Client->connections(Server.address()));
 });
 
 // Guards against a loop that waits for an event although a write made by a posted function has completed;
@@ -156,56 +156,56 @@
 const test_case Latency("http client: calls from posted functions", [] {
   constexpr int Calls = 200;
   scripted_server Server({answerAll});
-  call_site Site;
+  client_fixture Fixture;
   int Done = 0;
   std::function<void()> Next = [&] {
-    Site.Client->call(get(Server), [&](const http_call_result &) {
+    Fixture.Client->call(get(Server), [&](const http_call_result &) {
       if (++Done < Calls)
-        Site.Loop->post(Next);
+        Fixture.Loop->post(Next);
       else
-        Site.Loop->stop();
+        Fixture.Loop->stop();
     });
   };
   auto Begin = std::chrono::steady_clock::now();
-  Site.Loop->post(Next);
-  Site.Loop->run();
+  Fixture.Loop->post(Next);
+  Fixture.Loop->run();
   CPPUNIT_ASSERT_EQUAL(Calls, Done);
   CPPUNIT_ASSERT(std::chrono::steady_clock::now() - Begin < Calls * 50ms);
 });
 
 // Guards against a connection that is counted for ever after its exchange failed.
 const test_case Failures("http client: failures", [] {
-  scripted_server Server({stall});
-  call_site Site;
+  scripted_server Server({neverAnswer});
+  client_fixture Fixture;
   http_call Call = get(Server);
   if (auto When = section("when the answer does not come in time")) {
     Call.Timeout = 50ms;
-    assertFailed(errc::RequestTimeout, transfer_stage::MaybeWritten, Site.run(Call));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Site.Client->connections(Server.address()));
+    assertFailed(errc::RequestTimeout, transfer_stage::MaybeWritten, Fixture.run(Call));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Fixture.Client->connections(Server.address()));
   }
   if (auto When = section("when a header holds a line break")) {
     Call.Headers = {{"x", "1\r\ntask-id: other"}};
-    assertFailed(errc::MalformedDocument, transfer_stage::NothingWritten, Site.run(Call));
+    assertFailed(errc::MalformedDocument, transfer_stage::NothingWritten, Fixture.run(Call));
     CPPUNIT_ASSERT_EQUAL(0, Server.accepted());
   }
   if (auto When = section("when the address is no IP number")) {
     Call.Address = std::string("localhost:1");
-    assertFailed(errc::MalformedDocument, transfer_stage::NothingWritten, Site.run(Call));
+    assertFailed(errc::MalformedDocument, transfer_stage::NothingWritten, Fixture.run(Call));
   }
   if (auto When = section("when the connect is refused")) {
     std::uint16_t Port = 0;
     listenOn(1, Port).close();
     Call.Address = fmt::format("127.0.0.1:{}", Port);
-    assertFailed(errc::ConnectFailed, transfer_stage::NothingWritten, Site.run(Call));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Site.Client->connections(Call.Address));
+    assertFailed(errc::ConnectFailed, transfer_stage::NothingWritten, Fixture.run(Call));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Fixture.Client->connections(Call.Address));
   }
   if (auto When = section("when the call is abandoned")) {
-    call_id Id = Site.start(1, Call);
-    runUntil(*Site.Loop, [&] { return Server.accepted() == 1; });
-    Site.Client->abandon(Id);
-    runFor(*Site.Loop, 20ms);
-    CPPUNIT_ASSERT(Site.Results.empty());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Site.Client->connections(Server.address()));
+    call_id Id = Fixture.start(1, Call);
+    runUntil(*Fixture.Loop, [&] { return Server.accepted() == 1; });
+    Fixture.Client->cancel(Id);
+    runFor(*Fixture.Loop, 20ms);
+    CPPUNIT_ASSERT(Fixture.Results.empty());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Fixture.Client->connections(Server.address()));
   }
 });
 
@@ -219,33 +219,33 @@
       static_cast<void>(Socket.receiveMessage());
       Socket.send(fmt::format("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", Bytes));
       Socket.send(std::string(Bytes, 'x'));
-      stall(Socket);
+      neverAnswer(Socket);
     };
   };
   if (auto When = section("when the reply has the size limit")) {
     scripted_server Server({Reply(Limit)});
-    call_site Site(Options);
-    CPPUNIT_ASSERT_EQUAL(Limit, Site.run(get(Server)).Body.size());
+    client_fixture Fixture(Options);
+    CPPUNIT_ASSERT_EQUAL(Limit, Fixture.run(get(Server)).Body.size());
   }
   if (auto When = section("when it is larger")) {
     scripted_server Server({Reply(Limit + 1)});
-    call_site Site(Options);
-    assertFailed(errc::BodyTooLarge, transfer_stage::MaybeWritten, Site.run(get(Server)));
+    client_fixture Fixture(Options);
+    assertFailed(errc::BodyTooLarge, transfer_stage::MaybeWritten, Fixture.run(get(Server)));
   }
 });
 
 // Guards against use of a client that its own callback has destroyed.
 const test_case Destruction("http client: destruction", [] {
   scripted_server Server({answerAll, answerAll});
-  call_site Site;
+  client_fixture Fixture;
   int Calls = 0;
   for (int Count = 0; Count < 2; ++Count)
-    Site.Client->call(get(Server), [&](const http_call_result &) {
+    Fixture.Client->call(get(Server), [&](const http_call_result &) {
       ++Calls;
-      Site.Client.reset();
+      Fixture.Client.reset();
     });
-  runUntil(*Site.Loop, [&] { return !Site.Client; });
-  runFor(*Site.Loop, 20ms);
+  runUntil(*Fixture.Loop, [&] { return !Fixture.Client; });
+  runFor(*Fixture.Loop, 20ms);
   CPPUNIT_ASSERT_EQUAL(1, Calls);
 });
 
--- a/src/yuccaplank/wire/http_server.cpp
+++ b/src/yuccaplank/wire/http_server.cpp
@@ -136,8 +136,8 @@
   }
 
   runtime::result<void> listen() {
-    if (auto Watching = Hangups.open(); !Watching)
-      return Watching;
+    if (auto Opened = Hangups.open(); !Opened)
+      return Opened;
     auto Listening = listenOn(Options.Address, ListenBacklog);
     if (!Listening)
       return Listening.error();
@@ -162,7 +162,7 @@
     send(Request);
   }
 
-  void drop(request_token Token) {
+  void closeWithoutReply(request_token Token) {
     auto Found = Requests.find(Token);
     if (Found == Requests.end())
       return;
@@ -179,7 +179,7 @@
   }
 
   // The server object is being destroyed: nothing more is reported, and connections close.
-  void abandon() {
+  void detach() {
     Handlers = {};
     shutdown();
     for (auto &[Id, Connection] : Connections)
@@ -192,7 +192,7 @@
     if (SweepTimer)
       Loop.cancel(SweepTimer);
     if (!Connections.empty())
-      Self = shared_from_this();
+      SelfReference = shared_from_this();
   }
 
   [[nodiscard]] std::uint16_t port() const { return Port; }
@@ -258,8 +258,8 @@
   void onConnectionClosed(connection &Closed) {
     Connections.erase(Closed.Id);
     // h2o still uses its context while it closes the connection.
-    if (Self && Connections.empty())
-      Loop.post([Last = std::move(Self)] {});
+    if (SelfReference && Connections.empty())
+      Loop.post([Last = std::move(SelfReference)] {});
   }
 
   void onHangup(std::uint64_t Id) {
@@ -285,7 +285,7 @@
     auto Found = Requests.find(Token);
     if (Found == Requests.end())
       return;
-    refuse(*Found->second, 503);
+    replyWithError(*Found->second, 503);
   }
 
   void notifyClosed(request_token Token) {
@@ -307,9 +307,9 @@
 
   void sweep() {
     SweepTimer = 0;
-    time_point Latest = Loop.clock().now() - 2 * Options.RequestTimeout;
+    time_point Cutoff = Loop.clock().now() - 2 * Options.RequestTimeout;
     for (auto &[Id, Connection] : Connections)
-      if (Connection->Pending == 0 && Connection->LastActivity <= Latest)
+      if (Connection->Pending == 0 && Connection->LastActivity <= Cutoff)
         ::shutdown(Connection->Fd, SHUT_RDWR);
     if (Context.shutdown_requested)
       closeIdle();
@@ -340,14 +340,14 @@
     Request->Owner = this;
     Request->Connection = From;
     Request->Native = Native;
-    Request->Token = ++LastToken;
+    Request->Token = ++LastRequestToken;
     Requests.emplace(Request->Token, Request);
     ++From->Pending;
     From->Http2 = Native->version >= 0x200;
     if (!From->Http2)
       From->Http1Request = Request->Token;
     if (headerBytes(*Native) > MaxHeaderBytes)
-      refuse(*Request, 431);
+      replyWithError(*Request, 431);
     else
       deliver(*Request);
     if (From->PeerClosed && From->Http1Request)
@@ -377,7 +377,7 @@
     Handlers.OnRequest(std::move(Value));
   }
 
-  void refuse(const pending_request &Request, int Status) {
+  void replyWithError(const pending_request &Request, int Status) {
     Request.Native->http1_is_persistent = 0;
     http_reply Reply;
     Reply.Status = Status;
@@ -385,7 +385,7 @@
   }
 
   void send(pending_request &Request) {
-    static h2o_generator_t NoMore{nullptr, nullptr};
+    static h2o_generator_t EmptyGenerator{nullptr, nullptr};
     h2o_req_t *Native = Request.Native;
     http_reply &Reply = Request.Reply;
     Native->res.status = Reply.Status;
@@ -399,7 +399,7 @@
       h2o_add_header_by_str(&Native->pool, &Native->res.headers, Header.Name.data(), Header.Name.size(), 1,
                             nullptr, Header.Value.data(), Header.Value.size());
     }
-    h2o_start_response(Native, &NoMore);
+    h2o_start_response(Native, &EmptyGenerator);
     h2o_iovec_t Body = h2o_iovec_init(Reply.Body.data(), Reply.Body.size());
     h2o_send(Native, &Body, Reply.Body.empty() ? 0 : 1, H2O_SEND_STATE_FINAL);
   }
@@ -431,11 +431,11 @@
   std::uint16_t Port = 0;
   std::unordered_map<request_token, pending_request *> Requests;
   std::unordered_map<std::uint64_t, std::unique_ptr<connection>> Connections;
-  request_token LastToken = 0;
+  request_token LastRequestToken = 0;
   std::uint64_t LastConnection = 0;
   runtime::timer_id SweepTimer = 0;
   // Keeps the state while connections remain after the server object has gone.
-  std::shared_ptr<server_state> Self;
+  std::shared_ptr<server_state> SelfReference;
 };
 
 class http_server_impl final : public http_server {
@@ -443,10 +443,10 @@
   explicit http_server_impl(std::shared_ptr<server_state> StateIn) : State(std::move(StateIn)) {}
   http_server_impl(const http_server_impl &) = delete;
   http_server_impl &operator=(const http_server_impl &) = delete;
-  ~http_server_impl() override { State->abandon(); }
+  ~http_server_impl() override { State->detach(); }
 
   void reply(request_token Token, http_reply Reply) override { State->reply(Token, std::move(Reply)); }
-  void drop(request_token Token) override { State->drop(Token); }
+  void closeWithoutReply(request_token Token) override { State->closeWithoutReply(Token); }
   [[nodiscard]] std::uint16_t port() const override { return State->port(); }
   void shutdown() override { State->shutdown(); }
   [[nodiscard]] std::size_t pendingRequests() const override { return State->pendingRequests(); }
--- a/src/yuccaplank/wire/http_server_test.cpp
+++ b/src/yuccaplank/wire/http_server_test.cpp
@@ -18,8 +18,8 @@
 
 constexpr std::string_view Get = "GET /a%20b?x=1&y=%2F+z&flag HTTP/1.1\r\nhost: h\r\nX-One: 1\r\n\r\n";
 
-struct server_site {
-  explicit server_site(http_server_options Options = {}) {
+struct server_fixture {
+  explicit server_fixture(http_server_options Options = {}) {
     Options.Address = std::string("127.0.0.1:0");
     http_server_handlers Handlers;
     Handlers.OnRequest = [this](http_request Request) {
@@ -33,12 +33,12 @@
     Server = std::move(Made.value());
   }
   // The server's sockets end in the loop.
-  ~server_site() {
+  ~server_fixture() {
     Server.reset();
     runFor(*Loop, 20ms);
   }
-  server_site(const server_site &) = delete;
-  server_site &operator=(const server_site &) = delete;
+  server_fixture(const server_fixture &) = delete;
+  server_fixture &operator=(const server_fixture &) = delete;
 
   static http_reply ok() {
     http_reply Reply;
@@ -47,7 +47,7 @@
     return Reply;
   }
   /// Runs a blocking client beside the loop.
-  template <typename Function> auto runBeside(Function Client) {
+  template <typename Function> auto runInThread(Function Client) {
     auto Result = std::async(std::launch::async, std::move(Client));
     runUntil(*Loop, [&] { return Result.wait_for(0s) == std::future_status::ready; });
     return Result.get();
@@ -61,7 +61,7 @@
     return Socket;
   }
   std::string exchange(std::string_view Text) {
-    return runBeside([&] {
+    return runInThread([&] {
       raw_socket Socket = connectTo(Server->port());
       Socket.send(Text);
       return Socket.receiveMessage();
@@ -85,68 +85,68 @@
 
 // Guards against altered requests and replies, and against replies that only work from within the handler.
 const test_case Exchange("http server: exchange", [] {
-  server_site Site;
-  raw_socket Client = Site.request();
+  server_fixture Fixture;
+  raw_socket Client = Fixture.request();
   if (auto When = section("when a request arrives")) {
-    const http_request &Request = Site.Requests[0];
+    const http_request &Request = Fixture.Requests[0];
     CPPUNIT_ASSERT_EQUAL(std::string("GET"), Request.Method);
     CPPUNIT_ASSERT_EQUAL(std::string("/a b"), Request.Path);
     CPPUNIT_ASSERT_EQUAL(std::string("1"), std::string(Request.query("x")));
     CPPUNIT_ASSERT_EQUAL(std::string("/ z"), std::string(Request.query("y")));
     CPPUNIT_ASSERT_EQUAL(std::string("1"), std::string(Request.header("x-one")));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Site.Server->pendingRequests());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Fixture.Server->pendingRequests());
   }
   if (auto When = section("when the reply comes later")) {
-    runFor(*Site.Loop, 50ms);
-    Site.Server->reply(Site.Requests[0].Token, server_site::ok());
-    std::string Reply = Site.runBeside([&] { return Client.receiveMessage(); });
+    runFor(*Fixture.Loop, 50ms);
+    Fixture.Server->reply(Fixture.Requests[0].Token, server_fixture::ok());
+    std::string Reply = Fixture.runInThread([&] { return Client.receiveMessage(); });
     assertStatus(200, Reply);
     CPPUNIT_ASSERT(contains(Reply, "retry-after: 3\r\n") && Reply.ends_with("\r\n\r\n{}"));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Site.Server->pendingRequests());
-    CPPUNIT_ASSERT(Site.Closed.empty());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Fixture.Server->pendingRequests());
+    CPPUNIT_ASSERT(Fixture.Closed.empty());
   }
   if (auto When = section("when the connection is used again")) {
-    Site.AnswerAtOnce = true;
-    Site.Server->reply(Site.Requests[0].Token, server_site::ok());
-    std::string Second = Site.runBeside([&] {
+    Fixture.AnswerAtOnce = true;
+    Fixture.Server->reply(Fixture.Requests[0].Token, server_fixture::ok());
+    std::string Second = Fixture.runInThread([&] {
       static_cast<void>(Client.receiveMessage());
       Client.send("POST /b HTTP/1.1\r\nhost: h\r\ncontent-length: 3\r\n\r\nabc");
       return Client.receiveMessage();
     });
     assertStatus(200, Second);
-    CPPUNIT_ASSERT_EQUAL(std::string("abc"), Site.Requests[1].Body);
+    CPPUNIT_ASSERT_EQUAL(std::string("abc"), Fixture.Requests[1].Body);
   }
   if (auto When = section("when the request is dropped")) {
-    Site.Server->drop(Site.Requests[0].Token);
-    CPPUNIT_ASSERT_EQUAL(std::string(), Site.runBeside([&] { return Client.receiveMessage(); }));
-    CPPUNIT_ASSERT(Site.Closed.empty());
+    Fixture.Server->closeWithoutReply(Fixture.Requests[0].Token);
+    CPPUNIT_ASSERT_EQUAL(std::string(), Fixture.runInThread([&] { return Client.receiveMessage(); }));
+    CPPUNIT_ASSERT(Fixture.Closed.empty());
   }
 });
 
 // Guards against work for callers that have gone, and against replies to freed requests.
-const test_case Gone("http server: callers that have gone", [] {
-  server_site Site;
-  raw_socket Client = Site.request();
-  request_token Token = Site.Requests[0].Token;
+const test_case DisconnectedCallers("http server: callers that have gone", [] {
+  server_fixture Fixture;
+  raw_socket Client = Fixture.request();
+  request_token Token = Fixture.Requests[0].Token;
   if (auto When = section("when the connection closes")) {
     Client.close();
-    runUntil(*Site.Loop, [&] { return !Site.Closed.empty(); });
-    CPPUNIT_ASSERT_EQUAL(Token, Site.Closed[0]);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Site.Server->pendingRequests());
-    Site.Server->reply(Token, server_site::ok());
-    runUntil(*Site.Loop, [&] { return Site.Server->connections() == 0; });
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Site.Closed.size());
+    runUntil(*Fixture.Loop, [&] { return !Fixture.Closed.empty(); });
+    CPPUNIT_ASSERT_EQUAL(Token, Fixture.Closed[0]);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Fixture.Server->pendingRequests());
+    Fixture.Server->reply(Token, server_fixture::ok());
+    runUntil(*Fixture.Loop, [&] { return Fixture.Server->connections() == 0; });
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Fixture.Closed.size());
   }
   if (auto When = section("when it closes together with the reply")) {
     Client.close();
-    Site.Server->reply(Token, server_site::ok());
-    runUntil(*Site.Loop, [&] { return Site.Server->connections() == 0; });
-    CPPUNIT_ASSERT(Site.Closed.empty());
+    Fixture.Server->reply(Token, server_fixture::ok());
+    runUntil(*Fixture.Loop, [&] { return Fixture.Server->connections() == 0; });
+    CPPUNIT_ASSERT(Fixture.Closed.empty());
   }
   if (auto When = section("when the server object goes first")) {
-    Site.Server.reset();
-    CPPUNIT_ASSERT(Site.runBeside([&] { return Client.closedByPeer(); }));
-    CPPUNIT_ASSERT(Site.Closed.empty());
+    Fixture.Server.reset();
+    CPPUNIT_ASSERT(Fixture.runInThread([&] { return Client.closedByPeer(); }));
+    CPPUNIT_ASSERT(Fixture.Closed.empty());
   }
 });
 
@@ -156,20 +156,21 @@
   Options.MaxBodyBytes = 100;
   Options.MaxConnections = 2;
   Options.RequestTimeout = 200ms;
-  server_site Site(Options);
-  Site.AnswerAtOnce = true;
+  server_fixture Fixture(Options);
+  Fixture.AnswerAtOnce = true;
   std::string Body(101, 'x');
   if (auto When = section("when a body has the size limit")) {
     Body.pop_back();
-    assertStatus(200, Site.exchange(fmt::format("PUT / HTTP/1.1\r\ncontent-length: 100\r\n\r\n{}", Body)));
+    assertStatus(200, Fixture.exchange(fmt::format("PUT / HTTP/1.1\r\ncontent-length: 100\r\n\r\n{}", Body)));
   }
   if (auto When = section("when a declared body is too large")) {
-    std::string Reply = Site.exchange(fmt::format("PUT / HTTP/1.1\r\ncontent-length: 101\r\n\r\n{}", Body));
+    std::string Reply =
+        Fixture.exchange(fmt::format("PUT / HTTP/1.1\r\ncontent-length: 101\r\n\r\n{}", Body));
     assertStatus(413, Reply);
-    CPPUNIT_ASSERT(Site.Requests.empty());
+    CPPUNIT_ASSERT(Fixture.Requests.empty());
   }
   if (auto When = section("when a chunked body is too large")) {
-    std::string Reply = Site.exchange(
+    std::string Reply = Fixture.exchange(
         fmt::format("PUT / HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n65\r\n{}\r\n0\r\n\r\n", Body));
     assertStatus(413, Reply);
   }
@@ -177,17 +178,17 @@
     // Above the server's own limit, and above the one of h2o.
     for (std::size_t Bytes : {20'000UL, 500'000UL}) {
       std::string Reply =
-          Site.exchange(fmt::format("GET / HTTP/1.1\r\nx: {}\r\n\r\n", std::string(Bytes, 'x')));
+          Fixture.exchange(fmt::format("GET / HTTP/1.1\r\nx: {}\r\n\r\n", std::string(Bytes, 'x')));
       CPPUNIT_ASSERT(Reply.empty() || Reply.starts_with("HTTP/1.1 4"));
     }
-    CPPUNIT_ASSERT(Site.Requests.empty());
+    CPPUNIT_ASSERT(Fixture.Requests.empty());
   }
   if (auto When = section("when there are too many connections")) {
-    raw_socket First = connectTo(Site.Server->port());
-    raw_socket Second = connectTo(Site.Server->port());
-    raw_socket Third = connectTo(Site.Server->port());
+    raw_socket First = connectTo(Fixture.Server->port());
+    raw_socket Second = connectTo(Fixture.Server->port());
+    raw_socket Third = connectTo(Fixture.Server->port());
     Second.send(Get);
-    assertStatus(200, Site.runBeside([&] {
+    assertStatus(200, Fixture.runInThread([&] {
       CPPUNIT_ASSERT(Third.closedByPeer());
       return Second.receiveMessage();
     }));
@@ -195,14 +196,14 @@
 });
 
 // Guards against connections that are held by sending slowly.
-const test_case Slow("http server: slow requests", [] {
+const test_case SlowRequests("http server: slow requests", [] {
   http_server_options Options;
   Options.RequestTimeout = 200ms;
-  server_site Site(Options);
+  server_fixture Fixture(Options);
   // Sends one byte of the request each 50 ms until the server closes; returns whether it does within 3 s.
-  auto Drip = [&](std::string_view Head, std::string_view Rest) {
-    return Site.runBeside([&, Head, Rest] {
-      raw_socket Socket = connectTo(Site.Server->port());
+  auto SendSlowly = [&](std::string_view Head, std::string_view Rest) {
+    return Fixture.runInThread([&, Head, Rest] {
+      raw_socket Socket = connectTo(Fixture.Server->port());
       Socket.send(Head);
       for (int Count = 0; Count < 60; ++Count) {
         char Byte = 0;
@@ -215,37 +216,37 @@
     });
   };
   if (auto When = section("when nothing is sent"))
-    CPPUNIT_ASSERT(Drip("", ""));
+    CPPUNIT_ASSERT(SendSlowly("", ""));
   if (auto When = section("when the head is slow"))
-    CPPUNIT_ASSERT(Drip("GET / HTTP/1.1\r\nx: ", "x"));
+    CPPUNIT_ASSERT(SendSlowly("GET / HTTP/1.1\r\nx: ", "x"));
   if (auto When = section("when the body is slow"))
-    CPPUNIT_ASSERT(Drip("PUT / HTTP/1.1\r\ncontent-length: 1000\r\n\r\n", "x"));
+    CPPUNIT_ASSERT(SendSlowly("PUT / HTTP/1.1\r\ncontent-length: 1000\r\n\r\n", "x"));
   if (auto When = section("when the reply is slow")) {
-    raw_socket Client = Site.request();
-    runFor(*Site.Loop, 1s);
-    Site.Server->reply(Site.Requests[0].Token, server_site::ok());
-    assertStatus(200, Site.runBeside([&] { return Client.receiveMessage(); }));
+    raw_socket Client = Fixture.request();
+    runFor(*Fixture.Loop, 1s);
+    Fixture.Server->reply(Fixture.Requests[0].Token, server_fixture::ok());
+    assertStatus(200, Fixture.runInThread([&] { return Client.receiveMessage(); }));
   }
 });
 
 // Guards against a shutdown that loses requests in progress or leaves connections behind.
 const test_case Shutdown("http server: shutdown", [] {
-  server_site Site;
-  raw_socket Idle = connectTo(Site.Server->port());
-  raw_socket Client = Site.request();
-  Site.Server->shutdown();
+  server_fixture Fixture;
+  raw_socket Idle = connectTo(Fixture.Server->port());
+  raw_socket Client = Fixture.request();
+  Fixture.Server->shutdown();
   if (auto When = section("when a request is in progress")) {
-    runFor(*Site.Loop, 50ms);
-    Site.Server->reply(Site.Requests[0].Token, server_site::ok());
-    assertStatus(200, Site.runBeside([&] { return Client.receiveMessage(); }));
-    CPPUNIT_ASSERT(Site.runBeside([&] { return Client.closedByPeer(); }));
+    runFor(*Fixture.Loop, 50ms);
+    Fixture.Server->reply(Fixture.Requests[0].Token, server_fixture::ok());
+    assertStatus(200, Fixture.runInThread([&] { return Client.receiveMessage(); }));
+    CPPUNIT_ASSERT(Fixture.runInThread([&] { return Client.closedByPeer(); }));
   }
   if (auto When = section("when a connection is idle"))
-    CPPUNIT_ASSERT(Site.runBeside([&] { return Idle.closedByPeer(); }));
+    CPPUNIT_ASSERT(Fixture.runInThread([&] { return Idle.closedByPeer(); }));
   if (auto When = section("when another server takes the port")) {
     http_server_options Options;
-    Options.Address = fmt::format("127.0.0.1:{}", Site.Server->port());
-    auto Second = makeHttpServer(*Site.Loop, Options, {});
+    Options.Address = fmt::format("127.0.0.1:{}", Fixture.Server->port());
+    auto Second = makeHttpServer(*Fixture.Loop, Options, {});
     CPPUNIT_ASSERT(Second.has_value());
   }
 });
@@ -277,24 +278,24 @@
 
 // Guards against HTTP/2 requests without reply, and against callers on it that vanish unnoticed.
 const test_case Http2("http server: HTTP/2", [] {
-  server_site Site;
-  raw_socket Client = Site.request(http2Request());
-  CPPUNIT_ASSERT_EQUAL(std::string("/"), Site.Requests[0].Path);
+  server_fixture Fixture;
+  raw_socket Client = Fixture.request(http2Request());
+  CPPUNIT_ASSERT_EQUAL(std::string("/"), Fixture.Requests[0].Path);
   if (auto When = section("when the reply is sent")) {
-    Site.Server->reply(Site.Requests[0].Token, server_site::ok());
-    CPPUNIT_ASSERT_EQUAL(std::string("{}"), Site.runBeside([&] { return http2Body(Client); }));
+    Fixture.Server->reply(Fixture.Requests[0].Token, server_fixture::ok());
+    CPPUNIT_ASSERT_EQUAL(std::string("{}"), Fixture.runInThread([&] { return http2Body(Client); }));
   }
   if (auto When = section("when the connection closes")) {
     Client.close();
-    runUntil(*Site.Loop, [&] { return !Site.Closed.empty(); });
-    CPPUNIT_ASSERT_EQUAL(Site.Requests[0].Token, Site.Closed[0]);
+    runUntil(*Fixture.Loop, [&] { return !Fixture.Closed.empty(); });
+    CPPUNIT_ASSERT_EQUAL(Fixture.Requests[0].Token, Fixture.Closed[0]);
   }
   if (auto When = section("when the server shuts down")) {
-    Site.Server->shutdown();
-    runFor(*Site.Loop, 20ms);
-    Site.Server->reply(Site.Requests[0].Token, server_site::ok());
-    CPPUNIT_ASSERT_EQUAL(std::string("{}"), Site.runBeside([&] { return http2Body(Client); }));
-    CPPUNIT_ASSERT(Site.runBeside([&] { return Client.closedByPeer(); }));
+    Fixture.Server->shutdown();
+    runFor(*Fixture.Loop, 20ms);
+    Fixture.Server->reply(Fixture.Requests[0].Token, server_fixture::ok());
+    CPPUNIT_ASSERT_EQUAL(std::string("{}"), Fixture.runInThread([&] { return http2Body(Client); }));
+    CPPUNIT_ASSERT(Fixture.runInThread([&] { return Client.closedByPeer(); }));
   }
 });
 
--- a/src/yuccaplank/wire/line_counter.hpp
+++ b/src/yuccaplank/wire/line_counter.hpp
@@ -11,21 +11,21 @@
 /// Follows the parser through the text and knows the line of the token it has read last.
 class line_counter {
 public:
-  explicit line_counter(std::string_view Text) : Counted(Text.data()), Consumed(Text.data()) {}
+  explicit line_counter(std::string_view Text) : CountedUntil(Text.data()), ConsumedUntil(Text.data()) {}
   /// End of the text that the parser has taken.
-  void consumed(const char *End) { Consumed = End; }
+  void setConsumed(const char *End) { ConsumedUntil = End; }
   /// Line of the last token, from 1. The parser has read one character beyond a number, which may be a
   /// newline; that one does not count.
   int line() {
-    const char *Last = Consumed > Counted ? Consumed - 1 : Counted;
-    Line += static_cast<int>(std::count(Counted, Last, '\n'));
-    Counted = Last;
+    const char *Last = ConsumedUntil > CountedUntil ? ConsumedUntil - 1 : CountedUntil;
+    Line += static_cast<int>(std::count(CountedUntil, Last, '\n'));
+    CountedUntil = Last;
     return Line;
   }
 
 private:
-  const char *Counted;
-  const char *Consumed;
+  const char *CountedUntil;
+  const char *ConsumedUntil;
   int Line = 1;
 };
 
@@ -42,7 +42,7 @@
   reference operator*() const { return *Position; }
   counting_iterator &operator++() {
     ++Position;
-    Lines->consumed(Position);
+    Lines->setConsumed(Position);
     return *this;
   }
   friend bool operator==(const counting_iterator &Left, const counting_iterator &Right) {
--- a/src/yuccaplank/wire/peer_connection.cpp
+++ b/src/yuccaplank/wire/peer_connection.cpp
@@ -23,11 +23,11 @@
 // Bytes handed to the socket in one write.
 constexpr std::size_t MaxWriteBytes = 512 * 1024;
 // Emptied buffers above this size are freed: a VM may keep 100 connections open within 128 MB.
-constexpr std::size_t KeptBufferBytes = 64 * 1024;
+constexpr std::size_t MaxRetainedBufferBytes = 64 * 1024;
 
-void emptyBuffer(std::string &Buffer) {
+void clearBuffer(std::string &Buffer) {
   Buffer.clear();
-  if (Buffer.capacity() > KeptBufferBytes)
+  if (Buffer.capacity() > MaxRetainedBufferBytes)
     Buffer.shrink_to_fit();
 }
 
@@ -46,7 +46,7 @@
       Timer = 0;
       close(errc::RequestTimeout);
     });
-    Output = Protocol.hello();
+    Output = Protocol.helloFrame();
   }
   connection_impl(const connection_impl &) = delete;
   connection_impl &operator=(const connection_impl &) = delete;
@@ -67,10 +67,10 @@
     if (Socket != nullptr)
       Socket->data = this;
     else
-      later([this] { close(errc::ConnectFailed); });
+      postGuarded([this] { close(errc::ConnectFailed); });
   }
 
-  void adopt(h2o_socket_t *Accepted) {
+  void attach(h2o_socket_t *Accepted) {
     Socket = Accepted;
     Socket->data = this;
     startSession();
@@ -110,7 +110,7 @@
   }
   [[nodiscard]] bool isClient() const { return Options.Protocol.Role == peer_role::Client; }
 
-  void later(std::function<void()> Function) {
+  void postGuarded(std::function<void()> Function) {
     Loop.post([Alive = Alive, Function = std::move(Function)] {
       if (*Alive)
         Function();
@@ -184,9 +184,9 @@
     std::memcpy(Buffer, Output.data() + OutputSent, Count);
     OutputSent += Count;
     if (OutputSent == Output.size()) {
-      emptyBuffer(Output);
+      clearBuffer(Output);
       OutputSent = 0;
-    } else if (OutputSent >= KeptBufferBytes && 2 * OutputSent >= Output.size()) {
+    } else if (OutputSent >= MaxRetainedBufferBytes && 2 * OutputSent >= Output.size()) {
       // Waiting for half of the buffer keeps the moved bytes below the sent ones.
       Output.erase(0, OutputSent);
       OutputSent = 0;
@@ -236,7 +236,7 @@
     h2o_buffer_consume(&Socket->input, Socket->input->size);
     if (Used < 0)
       return close(errc::MalformedDocument);
-    drain();
+    handleEnvelopes();
     if (Closed)
       return;
     if (StreamEnded)
@@ -245,15 +245,15 @@
   }
 
   // Handles the envelopes that have arrived completely.
-  void drain() {
+  void handleEnvelopes() {
     while (!Closed) {
       bool WasAuthenticated = authenticated();
       auto Next = Protocol.next();
       if (!Next)
         return close(static_cast<errc>(Next.error().value()));
-      if (std::string Reply = Protocol.takeReply(); !Reply.empty())
+      if (std::string Reply = Protocol.takeHandshakeOutput(); !Reply.empty())
         send(Reply);
-      if (authenticated() && !WasAuthenticated && !acceptIdentity())
+      if (authenticated() && !WasAuthenticated && !verifyIdentity())
         return;
       if (!Next.value())
         return;
@@ -262,7 +262,7 @@
     }
   }
 
-  bool acceptIdentity() {
+  bool verifyIdentity() {
     Loop.cancel(std::exchange(Timer, 0));
     if (!Options.Vm.empty() && peer().vm() != Options.Vm) {
       close(errc::PeerRejected);
@@ -276,7 +276,7 @@
     if (FlushScheduled || Session == nullptr)
       return;
     FlushScheduled = true;
-    later([this] {
+    postGuarded([this] {
       FlushScheduled = false;
       flush();
     });
@@ -310,7 +310,7 @@
 
   void onWritten(const char *Error) {
     Writing = false;
-    emptyBuffer(WriteBuffer);
+    clearBuffer(WriteBuffer);
     if (Closed)
       return;
     if (Error != nullptr)
@@ -351,7 +351,7 @@
 std::unique_ptr<peer_connection> acceptPeer(runtime::loop &Loop, peer_connection_owner &Owner,
                                             peer_connection_options Options, st_h2o_socket_t *Socket) {
   auto Connection = std::make_unique<connection_impl>(Loop, Owner, std::move(Options));
-  Connection->adopt(Socket);
+  Connection->attach(Socket);
   return Connection;
 }
 
--- a/src/yuccaplank/wire/peer_link.cpp
+++ b/src/yuccaplank/wire/peer_link.cpp
@@ -23,12 +23,12 @@
 
 constexpr int ListenBacklog = 256;
 // Accepted connections that have not finished the handshake; bounds the memory that strangers can take.
-constexpr std::size_t MaxUnauthenticated = 256;
+constexpr std::size_t MaxUnauthenticatedConnections = 256;
 
 // No VM id begins like this.
 const std::string AddressKeyPrefix = "@";
 
-bool same(const schema::incarnation &Left, const schema::incarnation &Right) {
+bool isSameIncarnation(const schema::incarnation &Left, const schema::incarnation &Right) {
   return Left.vm() == Right.vm() && Left.started_ms() == Right.started_ms() && Left.nonce() == Right.nonce();
 }
 
@@ -38,19 +38,19 @@
 struct peer_state {
   schema::incarnation Incarnation;
   std::set<peer_connection *> Connections;
-  peer_connection *Active = nullptr;
+  peer_connection *ActiveConnection = nullptr;
   // Frames that wait for a connection.
-  std::deque<std::string> Waiting;
+  std::deque<std::string> WaitingFrames;
   std::size_t WaitingBytes = 0;
   bool Connecting = false;
 
   void sendWaiting(peer_connection &Connection) {
-    for (const std::string &Frame : Waiting)
+    for (const std::string &Frame : WaitingFrames)
       Connection.send(Frame);
-    dropWaiting();
+    clearWaiting();
   }
-  void dropWaiting() {
-    Waiting.clear();
+  void clearWaiting() {
+    WaitingFrames.clear();
     WaitingBytes = 0;
   }
 };
@@ -97,20 +97,21 @@
     }
     std::string Key = peerKey(Vm, Address);
     peer_state &Peer = Peers[Key];
-    std::size_t Queued = Peer.Active != nullptr ? Peer.Active->queuedBytes() : Peer.WaitingBytes;
+    std::size_t Queued =
+        Peer.ActiveConnection != nullptr ? Peer.ActiveConnection->queuedBytes() : Peer.WaitingBytes;
     if (Queued + Frame.size() > Options.MaxQueuedBytes) {
       logPeer("peer_queue_full", Vm, errc::QueueFull);
-      if (Peer.Active != nullptr)
-        Peer.Active->close(errc::QueueFull);
+      if (Peer.ActiveConnection != nullptr)
+        Peer.ActiveConnection->close(errc::QueueFull);
       return errc::QueueFull;
     }
     ++Totals.MessagesSent;
-    if (Peer.Active != nullptr) {
-      Peer.Active->send(Frame);
+    if (Peer.ActiveConnection != nullptr) {
+      Peer.ActiveConnection->send(Frame);
       return {};
     }
     Peer.WaitingBytes += Frame.size();
-    Peer.Waiting.push_back(std::move(Frame));
+    Peer.WaitingFrames.push_back(std::move(Frame));
     if (!Peer.Connecting)
       connect(Key, Address, Peer);
     return {};
@@ -120,15 +121,15 @@
     auto Found = Peers.find(Vm);
     if (Found == Peers.end())
       return;
-    Found->second.dropWaiting();
-    closeAll(Found->second, errc::PeerUnreachable);
+    Found->second.clearWaiting();
+    closeConnections(Found->second, errc::PeerUnreachable);
   }
 
   [[nodiscard]] std::uint16_t port() const override { return Port; }
   [[nodiscard]] counters totals() const override { return Totals; }
 
 private:
-  void later(std::function<void()> Function) {
+  void postGuarded(std::function<void()> Function) {
     Loop.post([Alive = Alive, Function = std::move(Function)] {
       if (*Alive)
         Function();
@@ -160,7 +161,7 @@
     if (!Vm.empty())
       return Vm;
     auto Known = VmsByAddress.find(Address);
-    if (Known != VmsByAddress.end() && Peers.at(Known->second).Active != nullptr)
+    if (Known != VmsByAddress.end() && Peers.at(Known->second).ActiveConnection != nullptr)
       return Known->second;
     return AddressKeyPrefix + Address;
   }
@@ -176,16 +177,16 @@
     if (Started)
       Connections.emplace(Id, connection_entry{std::move(Started.value()), Key});
     else
-      later([this, Key, Address] { connectEnded(Key, Address, errc::ConnectFailed); });
+      postGuarded([this, Key, Address] { handleConnectFailure(Key, Address, errc::ConnectFailed); });
   }
 
-  void connectEnded(const std::string &Key, const std::string &Address, errc Reason) {
+  void handleConnectFailure(const std::string &Key, const std::string &Address, errc Reason) {
     peer_state &Peer = Peers[Key];
     Peer.Connecting = false;
     // The peer may have connected meanwhile.
-    if (Peer.Active != nullptr)
+    if (Peer.ActiveConnection != nullptr)
       return;
-    Peer.dropWaiting();
+    Peer.clearWaiting();
     if (Handlers.OnConnectFailed)
       Handlers.OnConnectFailed(Address, Reason);
   }
@@ -194,7 +195,7 @@
     while (h2o_socket_t *Socket = h2o_evloop_socket_accept(Listener)) {
       auto Unauthenticated = std::ranges::count_if(
           Connections, [](const auto &Item) { return !Item.second.Connection->authenticated(); });
-      if (static_cast<std::size_t>(Unauthenticated) >= MaxUnauthenticated) {
+      if (static_cast<std::size_t>(Unauthenticated) >= MaxUnauthenticatedConnections) {
         logPeer("peer_refused", "", errc::TooManyConnections);
         h2o_socket_close(Socket);
         continue;
@@ -209,19 +210,19 @@
     std::string Vm = Connection.vm();
     peer_state &Peer = Peers[Vm];
     // The VM has restarted: its former incarnation has no use for its connections.
-    if (!Peer.Connections.empty() && !same(Peer.Incarnation, Connection.peer()))
-      closeAll(Peer, errc::ConnectionLost);
+    if (!Peer.Connections.empty() && !isSameIncarnation(Peer.Incarnation, Connection.peer()))
+      closeConnections(Peer, errc::ConnectionLost);
     Peer.Incarnation = Connection.peer();
     Peer.Connections.insert(&Connection);
-    if (Peer.Active == nullptr)
-      Peer.Active = &Connection;
-    Peer.sendWaiting(*Peer.Active);
+    if (Peer.ActiveConnection == nullptr)
+      Peer.ActiveConnection = &Connection;
+    Peer.sendWaiting(*Peer.ActiveConnection);
     if (Connection.address().empty())
       return;
     VmsByAddress[Connection.address()] = Vm;
     peer_state &Origin = Peers[Connections.at(Connection.id()).Key];
     Origin.Connecting = false;
-    Origin.sendWaiting(*Peer.Active);
+    Origin.sendWaiting(*Peer.ActiveConnection);
   }
 
   void onEnvelope(peer_connection &Connection, schema::envelope Message) override {
@@ -236,23 +237,23 @@
                  {{"peer", Vm},
                   {"authenticated", Connection.authenticated()},
                   {"reason", std::string(runtime::errcName(Reason))}});
-    later([this, Id = Connection.id()] { Connections.erase(Id); });
+    postGuarded([this, Id = Connection.id()] { Connections.erase(Id); });
     auto Found = Peers.find(Vm);
     if (Found != Peers.end() && Found->second.Connections.erase(&Connection) > 0)
-      closedAuthenticated(Found->second, Connection, Reason);
+      onAuthenticatedClosed(Found->second, Connection, Reason);
     else if (!Connection.address().empty())
-      later([this, Key = Connections.at(Connection.id()).Key, Address = Connection.address(), Reason] {
-        connectEnded(Key, Address, Reason);
+      postGuarded([this, Key = Connections.at(Connection.id()).Key, Address = Connection.address(), Reason] {
+        handleConnectFailure(Key, Address, Reason);
       });
   }
 
   // Messages may be lost with any connection to an incarnation, so all of them end with the first.
-  void closedAuthenticated(peer_state &Peer, peer_connection &Connection, errc Reason) {
-    if (Peer.Active == &Connection)
-      Peer.Active = nullptr;
+  void onAuthenticatedClosed(peer_state &Peer, peer_connection &Connection, errc Reason) {
+    if (Peer.ActiveConnection == &Connection)
+      Peer.ActiveConnection = nullptr;
     if (!Peer.Connections.empty())
       return (*Peer.Connections.begin())->close(Reason);
-    later([this, Incarnation = Connection.peer()] {
+    postGuarded([this, Incarnation = Connection.peer()] {
       if (Handlers.OnClosed)
         Handlers.OnClosed(Incarnation);
     });
@@ -261,7 +262,7 @@
   void countReceived(std::size_t Bytes) override { Totals.BytesReceived += Bytes; }
   void countSent(std::size_t Bytes) override { Totals.BytesSent += Bytes; }
 
-  static void closeAll(peer_state &Peer, errc Reason) {
+  static void closeConnections(peer_state &Peer, errc Reason) {
     if (!Peer.Connections.empty())
       (*Peer.Connections.begin())->close(Reason);
   }
--- a/src/yuccaplank/wire/peer_link_test.cpp
+++ b/src/yuccaplank/wire/peer_link_test.cpp
@@ -58,7 +58,7 @@
   }
   [[nodiscard]] std::string address() const { return "127.0.0.1:" + std::to_string(Transport->port()); }
   // Whether probes 0 to Count-1 have arrived, in order and once each.
-  [[nodiscard]] bool gotProbes(std::uint64_t Count) const {
+  [[nodiscard]] bool receivedProbes(std::uint64_t Count) const {
     for (std::size_t Index = 0; Index < Messages.size(); ++Index)
       CPPUNIT_ASSERT_EQUAL(static_cast<std::uint64_t>(Index), Messages[Index].dispatch().cancel().job());
     return Messages.size() == Count;
@@ -90,12 +90,12 @@
   if (auto Given = section("given one sender")) {
     for (std::uint64_t Index = 0; Index < 5000; ++Index)
       CPPUNIT_ASSERT(!First.send(Second, makeProbe(Index)));
-    runUntil(*Loop, [&] { return Second.gotProbes(5000); });
+    runUntil(*Loop, [&] { return Second.receivedProbes(5000); });
     CPPUNIT_ASSERT_EQUAL(std::string("vm1"), Second.Senders.front().vm());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(5000), First.Transport->totals().MessagesSent);
     if (auto When = section("when the other end answers")) {
       Second.send(First, makeProbe(0));
-      runUntil(*Loop, [&] { return First.gotProbes(1); });
+      runUntil(*Loop, [&] { return First.receivedProbes(1); });
       CPPUNIT_ASSERT_EQUAL(std::int64_t(77), First.Senders.front().started_ms());
     }
     if (auto When = section("when a large envelope follows")) {
@@ -112,12 +112,12 @@
       First.send(Second, makeProbe(Index));
       Second.send(First, makeProbe(Index));
     }
-    runUntil(*Loop, [&] { return First.gotProbes(1000) && Second.gotProbes(1000); });
+    runUntil(*Loop, [&] { return First.receivedProbes(1000) && Second.receivedProbes(1000); });
     for (std::uint64_t Index = 1000; Index < 2000; ++Index) {
       First.send(Second, makeProbe(Index));
       Second.send(First, makeProbe(Index));
     }
-    runUntil(*Loop, [&] { return First.gotProbes(2000) && Second.gotProbes(2000); });
+    runUntil(*Loop, [&] { return First.receivedProbes(2000) && Second.receivedProbes(2000); });
     CPPUNIT_ASSERT(First.Failures.empty() && First.Closed.empty());
     if (auto When = section("when one disconnects")) {
       First.Transport->disconnect("vm2");
@@ -131,23 +131,23 @@
 
 // Guards against a new VM that cannot reach seeds, of which it knows only the addresses, and against answers
 // that find no way back to it.
-const test_case Seeds("peer link: unknown ids and addresses", [] {
+const test_case UnknownPeers("peer link: unknown ids and addresses", [] {
   auto Loop = runtime::makeLoop();
   test_vm First(*Loop, makeOptions("vm1"));
   test_vm Second(*Loop, makeOptions("vm2"));
   if (auto Given = section("given only the address")) {
     for (std::uint64_t Index = 0; Index < 3; ++Index)
       First.Transport->send("", Second.address(), makeProbe(Index));
-    runUntil(*Loop, [&] { return Second.gotProbes(3); });
+    runUntil(*Loop, [&] { return Second.receivedProbes(3); });
     First.Transport->send("", Second.address(), makeProbe(3));
     First.send(Second, makeProbe(4));
     Second.Transport->send("vm1", "", makeProbe(0));
-    runUntil(*Loop, [&] { return Second.gotProbes(5) && First.gotProbes(1); });
+    runUntil(*Loop, [&] { return Second.receivedProbes(5) && First.receivedProbes(1); });
     First.Transport->disconnect("vm2");
     runUntil(*Loop, [&] { return First.Closed.size() == 1 && Second.Closed.size() == 1; });
     CPPUNIT_ASSERT(First.Failures.empty() && Second.Failures.empty());
     First.Transport->send("", Second.address(), makeProbe(5));
-    runUntil(*Loop, [&] { return Second.gotProbes(6); });
+    runUntil(*Loop, [&] { return Second.receivedProbes(6); });
   }
   if (auto Given = section("given the VM's own address, or only an id without a connection")) {
     First.Transport->send("", First.address(), makeProbe(0));
@@ -158,13 +158,13 @@
 });
 
 // Guards against a sender that waits for ever, or takes a dead incarnation for its successor.
-const test_case Endings("peer link: ends of connections", [] {
+const test_case ConnectionEnds("peer link: ends of connections", [] {
   auto Loop = runtime::makeLoop();
   test_vm First(*Loop, makeOptions("vm1"));
   auto Second = std::make_unique<test_vm>(*Loop, makeOptions("vm2", 10));
   if (auto Given = section("given a VM that restarts at the same address")) {
     First.send(*Second, makeProbe(0));
-    runUntil(*Loop, [&] { return Second->gotProbes(1); });
+    runUntil(*Loop, [&] { return Second->receivedProbes(1); });
     auto Options = makeOptions("vm2", 20);
     Options.Address = Second->address();
     Second.reset();
@@ -172,20 +172,20 @@
     runUntil(*Loop, [&] { return First.Closed.size() == 1; });
     CPPUNIT_ASSERT_EQUAL(std::int64_t(10), First.Closed.front().started_ms());
     First.send(*Second, makeProbe(0));
-    runUntil(*Loop, [&] { return Second->gotProbes(1); });
+    runUntil(*Loop, [&] { return Second->receivedProbes(1); });
     Second->send(First, makeProbe(0));
-    runUntil(*Loop, [&] { return First.gotProbes(1); });
+    runUntil(*Loop, [&] { return First.receivedProbes(1); });
     CPPUNIT_ASSERT_EQUAL(std::int64_t(20), First.Senders.front().started_ms());
   }
   if (auto Given = section("given a restarted VM that connects before its former connection has ended")) {
     First.send(*Second, makeProbe(0));
-    runUntil(*Loop, [&] { return Second->gotProbes(1); });
+    runUntil(*Loop, [&] { return Second->receivedProbes(1); });
     test_vm Successor(*Loop, makeOptions("vm2", 20));
     Successor.send(First, makeProbe(0));
-    runUntil(*Loop, [&] { return First.gotProbes(1) && First.Closed.size() == 1; });
+    runUntil(*Loop, [&] { return First.receivedProbes(1) && First.Closed.size() == 1; });
     CPPUNIT_ASSERT_EQUAL(std::int64_t(10), First.Closed.front().started_ms());
     First.send(Successor, makeProbe(0));
-    runUntil(*Loop, [&] { return Successor.gotProbes(1); });
+    runUntil(*Loop, [&] { return Successor.receivedProbes(1); });
   }
   if (auto Given = section("given an address at which nobody listens")) {
     std::string Address = Second->address();
@@ -207,7 +207,7 @@
     CPPUNIT_ASSERT(First.Failures.front() == runtime::errc::PeerRejected);
     CPPUNIT_ASSERT(Second->Messages.empty());
     First.send(*Second, makeProbe(0));
-    runUntil(*Loop, [&] { return Second->gotProbes(1); });
+    runUntil(*Loop, [&] { return Second->receivedProbes(1); });
   }
   if (auto Given = section("given the VM's own address")) {
     First.Transport->send("vm1", First.address(), makeProbe(0));
@@ -238,7 +238,7 @@
 });
 
 // Opens a plain connection and writes bytes.
-int openRaw(std::uint16_t Port, const std::string &Bytes) {
+int connectAndSend(std::uint16_t Port, const std::string &Bytes) {
   int Fd = socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in Address{};
   Address.sin_family = AF_INET;
@@ -251,7 +251,7 @@
 }
 
 // Reads until the peer closes; false while it is open.
-bool endReached(int Fd) {
+bool closedByPeer(int Fd) {
   std::string Buffer(4096, '\0');
   ssize_t Count = 1;
   while (Count > 0)
@@ -260,7 +260,7 @@
 }
 
 // Guards against strangers that crash a VM, hold its connections, or take its memory.
-const test_case Strangers("peer link: strangers", [] {
+const test_case InvalidClients("peer link: strangers", [] {
   auto Loop = runtime::makeLoop();
   auto Options = makeOptions("vm1");
   Options.ConnectTimeout = 100ms;
@@ -270,26 +270,26 @@
   for (const std::string &Bytes :
        {std::string("GET / HTTP/1.1\r\n\r\n"), std::string(), Preface, Preface + Settings,
         Preface + std::string("\xff\xff\xff\0\0\0\0\0\1", 9), std::string(200'000, '\xff')}) {
-    int Fd = openRaw(First.Transport->port(), Bytes);
-    runUntil(*Loop, [&] { return endReached(Fd); });
+    int Fd = connectAndSend(First.Transport->port(), Bytes);
+    runUntil(*Loop, [&] { return closedByPeer(Fd); });
     close(Fd);
   }
 });
 
 // Guards against idle strangers that take all connections of a VM.
-const test_case Crowds("peer link: crowd of strangers", [] {
+const test_case UnauthenticatedConnections("peer link: crowd of strangers", [] {
   auto Loop = runtime::makeLoop();
   auto Options = makeOptions("vm1");
   Options.ConnectTimeout = 10min;
   test_vm First(*Loop, Options);
   constexpr std::ptrdiff_t Surplus = 44;
-  std::vector<int> Crowd;
+  std::vector<int> Sockets;
   for (std::ptrdiff_t Index = 0; Index < 256 + Surplus; ++Index) {
-    Crowd.push_back(openRaw(First.Transport->port(), ""));
+    Sockets.push_back(connectAndSend(First.Transport->port(), ""));
     runFor(*Loop, 1ms);
   }
-  runUntil(*Loop, [&] { return std::ranges::count_if(Crowd, endReached) == Surplus; });
-  for (int Fd : Crowd)
+  runUntil(*Loop, [&] { return std::ranges::count_if(Sockets, closedByPeer) == Surplus; });
+  for (int Fd : Sockets)
     close(Fd);
   test_vm Second(*Loop, makeOptions("vm2"));
   Second.send(First, makeProbe(0));
@@ -297,12 +297,12 @@
     // The first attempts may come before the ends of the crowd have been noticed.
     if (!std::exchange(Second.Failures, {}).empty())
       Second.send(First, makeProbe(0));
-    return First.gotProbes(1);
+    return First.receivedProbes(1);
   });
 });
 
 // Guards against a queue that grows without bound while a peer does not read.
-const test_case Bounds("peer link: bounds", [] {
+const test_case SizeLimits("peer link: bounds", [] {
   auto Loop = runtime::makeLoop();
   auto Options = makeOptions("vm1");
   Options.MaxEnvelopeBytes = 10'000;
@@ -326,7 +326,7 @@
   }
   if (auto Given = section("given a full queue of an open connection")) {
     First.send(Second, makeProbe(0));
-    runUntil(*Loop, [&] { return Second.gotProbes(1); });
+    runUntil(*Loop, [&] { return Second.receivedProbes(1); });
     CPPUNIT_ASSERT(!First.send(Second, Large));
     CPPUNIT_ASSERT(!First.send(Second, Large));
     CPPUNIT_ASSERT(First.send(Second, Large) == runtime::errc::QueueFull);
@@ -358,21 +358,21 @@
     CPPUNIT_ASSERT(Rejected(Server, encodeEnvelope(makeProbe(1))));
   }
   if (auto Given = section("given a hello from the VM itself, or without a whole nonce, or without a name")) {
-    CPPUNIT_ASSERT(Rejected(Server, makeProtocol(peer_role::Client, "vm2", 'c').hello()));
+    CPPUNIT_ASSERT(Rejected(Server, makeProtocol(peer_role::Client, "vm2", 'c').helloFrame()));
     auto Other = makeProtocol(peer_role::Server, "vm2", 's');
     schema::envelope Message;
     *Message.mutable_hello()->mutable_self() = makeIncarnation("vm1");
     Message.mutable_hello()->set_nonce("short");
     CPPUNIT_ASSERT(Rejected(Other, encodeEnvelope(Message)));
     auto Third = makeProtocol(peer_role::Server, "vm2", 's');
-    CPPUNIT_ASSERT(Rejected(Third, makeProtocol(peer_role::Client, "", 'c').hello()));
+    CPPUNIT_ASSERT(Rejected(Third, makeProtocol(peer_role::Client, "", 'c').helloFrame()));
   }
   if (auto Given = section("given hellos of both ends")) {
-    Client.feed(Server.hello());
-    Server.feed(Client.hello());
+    Client.feed(Server.helloFrame());
+    Server.feed(Client.helloFrame());
     CPPUNIT_ASSERT(!Client.next().value() && !Server.next().value());
-    std::string ClientProof = Client.takeReply();
-    std::string ServerProof = Server.takeReply();
+    std::string ClientProof = Client.takeHandshakeOutput();
+    std::string ServerProof = Server.takeHandshakeOutput();
     if (auto When = section("when the right proofs follow")) {
       Server.feed(ClientProof + encodeEnvelope(makeProbe(5)));
       CPPUNIT_ASSERT_EQUAL(std::uint64_t(5), Server.next().value()->dispatch().cancel().job());
@@ -380,7 +380,7 @@
       CPPUNIT_ASSERT(!Client.next().value());
       CPPUNIT_ASSERT(Client.authenticated() && Server.authenticated());
       if (auto Then = section("then a second handshake is an error")) {
-        Server.feed(Client.hello());
+        Server.feed(Client.helloFrame());
         CPPUNIT_ASSERT(Server.next().error() == runtime::errc::MalformedDocument);
       }
       if (auto Then = section("then an oversized or unparsable envelope is an error")) {
@@ -403,7 +403,7 @@
     }
     if (auto When = section("when an envelope or a second hello comes before the proof")) {
       CPPUNIT_ASSERT(Rejected(Server, encodeEnvelope(makeProbe(1))));
-      CPPUNIT_ASSERT(Rejected(Client, Server.hello()));
+      CPPUNIT_ASSERT(Rejected(Client, Server.helloFrame()));
     }
     if (auto When = section("when the proof is empty or cut short")) {
       schema::envelope Message;
@@ -414,11 +414,11 @@
     }
     if (auto When = section("when a recorded proof is replayed on another connection")) {
       auto Replayed = makeProtocol(peer_role::Server, "vm2", 't');
-      CPPUNIT_ASSERT(Rejected(Replayed, Client.hello() + ClientProof));
+      CPPUNIT_ASSERT(Rejected(Replayed, Client.helloFrame() + ClientProof));
     }
     if (auto When = section("when a recorded proof is used with another identity")) {
       auto Same = makeProtocol(peer_role::Server, "vm2", 's');
-      CPPUNIT_ASSERT(Rejected(Same, makeProtocol(peer_role::Client, "vm3", 'c').hello() + ClientProof));
+      CPPUNIT_ASSERT(Rejected(Same, makeProtocol(peer_role::Client, "vm3", 'c').helloFrame() + ClientProof));
     }
   }
 });
--- a/src/yuccaplank/wire/peer_protocol.cpp
+++ b/src/yuccaplank/wire/peer_protocol.cpp
@@ -20,7 +20,7 @@
 constexpr std::size_t MaxHandshakeBytes = 1024;
 constexpr std::size_t MaxLengthBytes = 5;
 // Consumed input is discarded from this size on, so that small envelopes do not each move the buffer.
-constexpr std::size_t CompactBytes = 64 * 1024;
+constexpr std::size_t MinCompactBytes = 64 * 1024;
 
 void appendField(std::string &Text, std::string_view Field) {
   std::uint64_t Size = Field.size();
@@ -74,26 +74,26 @@
   *Hello->mutable_self() = Options.Self;
   Hello->set_domain(Options.Domain);
   Hello->set_nonce(Options.Nonce);
-  OwnHello = Message.SerializeAsString();
+  LocalHelloBytes = Message.SerializeAsString();
 }
 
-std::string peer_protocol::hello() const {
+std::string peer_protocol::helloFrame() const {
   // The proof covers exactly these bytes, so they are not serialized a second time.
   std::string Frame;
   google::protobuf::io::StringOutputStream Stream(&Frame);
   google::protobuf::io::CodedOutputStream Coded(&Stream);
-  Coded.WriteVarint32(static_cast<std::uint32_t>(OwnHello.size()));
-  Coded.WriteString(OwnHello);
+  Coded.WriteVarint32(static_cast<std::uint32_t>(LocalHelloBytes.size()));
+  Coded.WriteString(LocalHelloBytes);
   Coded.Trim();
   return Frame;
 }
 
 void peer_protocol::feed(std::string_view Data) {
-  compact();
+  compactInput();
   Input.append(Data);
 }
 
-std::string peer_protocol::takeReply() { return std::exchange(Reply, {}); }
+std::string peer_protocol::takeHandshakeOutput() { return std::exchange(Reply, {}); }
 
 runtime::result<std::optional<schema::envelope>> peer_protocol::next() {
   while (true) {
@@ -103,7 +103,7 @@
     if (!Frame.value())
       return std::optional<schema::envelope>();
     std::string_view Body =
-        std::string_view(Input).substr(Consumed + Frame.value()->HeaderBytes, Frame.value()->BodyBytes);
+        std::string_view(Input).substr(ConsumedBytes + Frame.value()->HeaderBytes, Frame.value()->BodyBytes);
     schema::envelope Message;
     if (!Message.ParseFromArray(Body.data(), static_cast<int>(Body.size())))
       return errc::MalformedDocument;
@@ -114,7 +114,7 @@
     } else if (Message.has_hello() || Message.has_hello_proof()) {
       return errc::MalformedDocument;
     }
-    Consumed += Frame.value()->HeaderBytes + Frame.value()->BodyBytes;
+    ConsumedBytes += Frame.value()->HeaderBytes + Frame.value()->BodyBytes;
     // Envelopes of a kind that this version does not know are skipped, so that versions can be mixed.
     if (!InHandshake && Message.body_case() != schema::envelope::BODY_NOT_SET)
       return std::optional<schema::envelope>(std::move(Message));
@@ -125,11 +125,11 @@
   frame Frame;
   std::uint64_t Size = 0;
   while (true) {
-    if (Consumed + Frame.HeaderBytes == Input.size())
+    if (ConsumedBytes + Frame.HeaderBytes == Input.size())
       return std::optional<frame>();
     if (Frame.HeaderBytes == MaxLengthBytes)
       return errc::MalformedDocument;
-    auto Byte = static_cast<unsigned char>(Input[Consumed + Frame.HeaderBytes]);
+    auto Byte = static_cast<unsigned char>(Input[ConsumedBytes + Frame.HeaderBytes]);
     Size |= static_cast<std::uint64_t>(Byte & 0x7FU) << (7 * Frame.HeaderBytes++);
     if (Byte < 0x80U)
       break;
@@ -137,7 +137,7 @@
   if (Size > (Authenticated ? Options.MaxEnvelopeBytes : MaxHandshakeBytes))
     return errc::BodyTooLarge;
   Frame.BodyBytes = Size;
-  if (Input.size() - Consumed - Frame.HeaderBytes < Frame.BodyBytes)
+  if (Input.size() - ConsumedBytes - Frame.HeaderBytes < Frame.BodyBytes)
     return std::optional<frame>();
   return std::optional<frame>(Frame);
 }
@@ -147,7 +147,7 @@
     return onHello(Message.hello(), Body);
   if (!Peer || !Message.has_hello_proof())
     return errc::PeerRejected;
-  if (!equalInConstantTime(Message.hello_proof().hmac(), proof(otherRole(Options.Role))))
+  if (!equalInConstantTime(Message.hello_proof().hmac(), computeProof(otherRole(Options.Role))))
     return errc::PeerRejected;
   Authenticated = true;
   return runtime::result<void>(BOOST_OUTCOME_V2_NAMESPACE::in_place_type<void>);
@@ -159,30 +159,30 @@
   if (!Valid)
     return errc::PeerRejected;
   Peer = Hello;
-  PeerHello = Body;
+  PeerHelloBytes = Body;
   schema::envelope Answer;
-  Answer.mutable_hello_proof()->set_hmac(proof(Options.Role));
+  Answer.mutable_hello_proof()->set_hmac(computeProof(Options.Role));
   Reply += encodeEnvelope(Answer);
   return runtime::result<void>(BOOST_OUTCOME_V2_NAMESPACE::in_place_type<void>);
 }
 
 // The role keeps a proof from being reflected to its sender; the hellos bind nonces and incarnations.
-std::string peer_protocol::proof(peer_role Prover) const {
+std::string peer_protocol::computeProof(peer_role Prover) const {
   bool IsClient = Options.Role == peer_role::Client;
   std::string Text;
   appendField(Text, ProofLabel);
   appendField(Text, Prover == peer_role::Client ? "client" : "server");
-  appendField(Text, IsClient ? OwnHello : PeerHello);
-  appendField(Text, IsClient ? PeerHello : OwnHello);
+  appendField(Text, IsClient ? LocalHelloBytes : PeerHelloBytes);
+  appendField(Text, IsClient ? PeerHelloBytes : LocalHelloBytes);
   return hmacSha256(Options.Key, Text);
 }
 
-void peer_protocol::compact() {
-  if (Consumed != Input.size() && Consumed < CompactBytes)
+void peer_protocol::compactInput() {
+  if (ConsumedBytes != Input.size() && ConsumedBytes < MinCompactBytes)
     return;
-  Input.erase(0, Consumed);
-  Consumed = 0;
-  if (Input.empty() && Input.capacity() > CompactBytes)
+  Input.erase(0, ConsumedBytes);
+  ConsumedBytes = 0;
+  if (Input.empty() && Input.capacity() > MinCompactBytes)
     Input.shrink_to_fit();
 }
 
--- a/src/yuccaplank/wire/peer_protocol.hpp
+++ b/src/yuccaplank/wire/peer_protocol.hpp
@@ -38,7 +38,7 @@
   explicit peer_protocol(peer_protocol_options Options);
 
   /// Frame that opens the handshake.
-  [[nodiscard]] std::string hello() const;
+  [[nodiscard]] std::string helloFrame() const;
   /// Appends received bytes.
   void feed(std::string_view Data);
   /// Next envelope of the authenticated peer, or nothing when more bytes are needed. Handshake messages are
@@ -46,7 +46,7 @@
   /// failed, errc::BodyTooLarge, or errc::MalformedDocument.
   runtime::result<std::optional<schema::envelope>> next();
   /// Handshake bytes that have to be sent.
-  std::string takeReply();
+  std::string takeHandshakeOutput();
   [[nodiscard]] bool authenticated() const { return Authenticated; }
   /// Claims of the peer, once its hello has arrived; proven only when authenticated.
   [[nodiscard]] const std::optional<schema::hello> &peer() const { return Peer; }
@@ -59,16 +59,16 @@
   [[nodiscard]] runtime::result<std::optional<frame>> nextFrame() const;
   runtime::result<void> onHandshake(const schema::envelope &Message, std::string_view Body);
   runtime::result<void> onHello(const schema::hello &Hello, std::string_view Body);
-  [[nodiscard]] std::string proof(peer_role Prover) const;
-  void compact();
+  [[nodiscard]] std::string computeProof(peer_role Prover) const;
+  void compactInput();
 
   peer_protocol_options Options;
-  std::string OwnHello;
-  std::string PeerHello;
+  std::string LocalHelloBytes;
+  std::string PeerHelloBytes;
   std::optional<schema::hello> Peer;
   bool Authenticated = false;
   std::string Input;
-  std::size_t Consumed = 0;
+  std::size_t ConsumedBytes = 0;
   std::string Reply;
 };
 
--- a/src/yuccaplank/wire/settings_reader.cpp
+++ b/src/yuccaplank/wire/settings_reader.cpp
@@ -18,7 +18,7 @@
 struct range_check {
   const char *Path;
   double (*Value)(const schema::daemon_settings &);
-  double Most;
+  double Max;
 };
 
 // Highest values that still make sense; 0 takes the default everywhere.
@@ -47,8 +47,8 @@
   std::vector<document_issue> Issues;
   for (const range_check &Range : Ranges) {
     double Value = Range.Value(Settings);
-    if (!(Value >= 0 && Value <= Range.Most))
-      Issues.push_back({errc::OutOfRange, Range.Path, 0, fmt::format("0 to {:g}", Range.Most)});
+    if (!(Value >= 0 && Value <= Range.Max))
+      Issues.push_back({errc::OutOfRange, Range.Path, 0, fmt::format("0 to {:g}", Range.Max)});
   }
   const std::string &Level = Settings.log().level();
   if (!Level.empty() && std::ranges::find(LogLevels, Level) == LogLevels.end())
--- a/src/yuccaplank/wire/settings_reader_test.cpp
+++ b/src/yuccaplank/wire/settings_reader_test.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-template <typename Message> std::string issuesOf(std::string_view Text) {
+template <typename Message> std::string readIssues(std::string_view Text) {
   Message Target;
   return wire::formatIssues(wire::readDocument(Text, Target));
 }
@@ -69,7 +69,7 @@
     std::string Text;
     std::string Issues;
   };
-  const expectation OfJobs[] = {
+  const expectation JobExpectations[] = {
       {"{\n\"host\": 1\n}", "line 2: host: wrong_type, expected string\n"},
       {"{\n\"host\": null}", "line 2: host: wrong_type, expected string\n"},
       {"{\"host\": {\"x\": [1]},\n \"cores\": \"1\"}",
@@ -86,10 +86,10 @@
       {"{\"host\": \"\xff\"}", "line 1: host: malformed_document, expected JSON\n"},
       {"", "line 1: malformed_document, expected '[', '{', or a literal\n"},
   };
-  for (const expectation &Expectation : OfJobs)
+  for (const expectation &Expectation : JobExpectations)
     if (auto When = section(Expectation.Text))
-      CPPUNIT_ASSERT_EQUAL(Expectation.Issues, issuesOf<schema::job_document>(Expectation.Text));
-  const expectation OfSettings[] = {
+      CPPUNIT_ASSERT_EQUAL(Expectation.Issues, readIssues<schema::job_document>(Expectation.Text));
+  const expectation SettingsExpectations[] = {
       {"{\"callers\": {\n\"retention\": 1}}",
        "line 2: callers.retention: unknown_field, expected one of answer_retention_s, default_deadline_ms\n"},
       {"{\"callers\": {\n\"key\": [{\"a\": 1}, 2], \"answer_retention_s\": \"3\"}}",
@@ -97,21 +97,21 @@
        "line 2: callers.answer_retention_s: wrong_type, expected integer from 0 to 4294967295\n"},
       {"{\"log\": \"a\"}", "line 1: log: wrong_type, expected object\n"},
   };
-  for (const expectation &Expectation : OfSettings)
+  for (const expectation &Expectation : SettingsExpectations)
     if (auto When = section(Expectation.Text))
-      CPPUNIT_ASSERT_EQUAL(Expectation.Issues, issuesOf<schema::daemon_settings>(Expectation.Text));
+      CPPUNIT_ASSERT_EQUAL(Expectation.Issues, readIssues<schema::daemon_settings>(Expectation.Text));
 
   if (auto When = section("when an element of an array is faulty")) {
     CPPUNIT_ASSERT_EQUAL(
         std::string("line 3: ended[1].event: out_of_range, expected one of RUN_UNKNOWN, RUN_DONE, "
                     "RUN_FAILED, RUN_GONE, RUN_NOT_STARTED\n"
                     "line 4: ended[2]: wrong_type, expected object\n"),
-        issuesOf<schema::adopt_request>(
+        readIssues<schema::adopt_request>(
             "{\"ended\": [{\"server\": \"a\"},\n{\"server\": \"b\",\n\"event\": \"GONE\"},\n7]}"));
   }
   if (auto When = section("when a field that repeats is no array")) {
     CPPUNIT_ASSERT_EQUAL(std::string("line 1: vms: wrong_type, expected array\n"),
-                         issuesOf<schema::fleet_report>("{\"vms\": {\"vm\": \"a\"}}"));
+                         readIssues<schema::fleet_report>("{\"vms\": {\"vm\": \"a\"}}"));
   }
   if (auto When = section("when the text ends early")) {
     schema::job_document Job;
--- a/src/yuccaplank/wire/socket_address.cpp
+++ b/src/yuccaplank/wire/socket_address.cpp
@@ -58,13 +58,13 @@
   auto Parsed = parseSocketAddress(Address);
   if (!Parsed)
     return Parsed.error();
-  const socket_address &Wanted = Parsed.value();
-  int Fd = socket(Wanted.Bytes.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+  const socket_address &Requested = Parsed.value();
+  int Fd = socket(Requested.Bytes.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (Fd < 0)
     return systemError();
-  int On = 1;
-  setsockopt(Fd, SOL_SOCKET, SO_REUSEADDR, &On, sizeof(On));
-  if (bind(Fd, Wanted.get(), Wanted.Length) != 0 || listen(Fd, Backlog) != 0) {
+  int Enable = 1;
+  setsockopt(Fd, SOL_SOCKET, SO_REUSEADDR, &Enable, sizeof(Enable));
+  if (bind(Fd, Requested.get(), Requested.Length) != 0 || listen(Fd, Backlog) != 0) {
     std::error_code Error = systemError();
     close(Fd);
     return Error;
--- a/src/yuccaplank/wire/url.cpp
+++ b/src/yuccaplank/wire/url.cpp
@@ -22,10 +22,10 @@
 
 } // namespace
 
-std::string percentEncode(std::string_view Text, std::string_view AlsoPlain) {
+std::string percentEncode(std::string_view Text, std::string_view SafeCharacters) {
   std::string Encoded;
   for (char Character : Text) {
-    if (isUnreserved(Character) || AlsoPlain.find(Character) != std::string_view::npos)
+    if (isUnreserved(Character) || SafeCharacters.find(Character) != std::string_view::npos)
       Encoded += Character;
     else
       Encoded += fmt::format("%{:02X}", static_cast<unsigned char>(Character));
--- a/src/yuccaplank/wire/url.hpp
+++ b/src/yuccaplank/wire/url.hpp
@@ -9,7 +9,7 @@
 namespace yuccaplank::wire {
 
 /// Percent-encodes everything but unreserved characters and those in AlsoPlain.
-std::string percentEncode(std::string_view Text, std::string_view AlsoPlain = {});
+std::string percentEncode(std::string_view Text, std::string_view SafeCharacters = {});
 
 /// Decodes "%XX"; malformed sequences stay as they are. PlusIsSpace also decodes '+', as in query strings.
 std::string percentDecode(std::string_view Text, bool PlusIsSpace);
