--- a/include/yuccaplank/wire/document_writer.hpp
+++ b/include/yuccaplank/wire/document_writer.hpp
@@ -1,4 +1,4 @@
-// Writes protobuf messages as JSON that readDocument reads back.
+// Writes protobuf messages as JSON that readDocument() can read back.
 #pragma once
 
 #include <google/protobuf/message.h>
@@ -10,8 +10,8 @@
 
 enum class json_layout : std::uint8_t { Compact, Pretty };
 
-/// Fields that are unset, or that hold their default without tracking presence, are left out. Strings that
-/// are not valid UTF-8 are written with replacement characters.
+/// Returns the JSON text of a message. Unset fields are omitted, and so are fields without presence tracking
+/// that hold their default. Invalid UTF-8 in strings is replaced by replacement characters.
 std::string writeDocument(const google::protobuf::Message &Message,
                           json_layout Layout = json_layout::Compact);
 
--- a/include/yuccaplank/wire/http_client.hpp
+++ b/include/yuccaplank/wire/http_client.hpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 client on h2o with pooled connections per address.
+// HTTP/1.1 client on h2o with a connection pool per address.
 #pragma once
 
 #include "yuccaplank/runtime/error.hpp"
@@ -13,69 +13,70 @@
 
 namespace yuccaplank::wire {
 
-/// How far a failed request had got. Whoever retries decides by this alone.
+/// How far a failed request had progressed. This alone decides whether a caller may retry it.
 enum class transfer_stage : std::uint8_t {
-  /// No connection could be established, or it closed before a byte of the request was written.
+  /// No byte of the request was written: no connection was established, or it closed before.
   NothingWritten,
   /// At least one byte may have been written; the server may have acted on the request.
   MaybeWritten,
 };
 
-/// A request.
+/// A request to an HTTP server.
 struct http_call {
   std::string Method = "GET";
-  /// "ip:port".
+  /// Server address in the form "ip:port".
   std::string Address;
-  /// Path with query.
+  /// Path, including the query.
   std::string Path;
   std::vector<http_header> Headers;
   std::string Body;
-  /// Host that the request is for; empty takes the address.
+  /// Value of the Host header; if empty, Address is used.
   std::string Host;
-  /// Time for the whole exchange; zero means no limit.
+  /// Limit for the whole exchange; zero means no limit.
   runtime::duration Timeout{};
 };
 
-/// A complete reply, or the error and how far the request had got.
+/// A complete reply, or an error with the stage that the request had reached.
 struct http_call_result {
-  /// Empty when a complete reply has arrived.
+  /// Not set if a complete reply was received.
   std::error_code Error;
-  /// Valid when Error is set.
+  /// Only meaningful if Error is set.
   transfer_stage Stage = transfer_stage::MaybeWritten;
   int Status = 0;
   std::vector<http_header> Headers;
   std::string Body;
 
-  /// Value of a header by its lower-case name; empty when absent.
+  /// Returns the value of a header, given its lower-case name; empty if the header is missing.
   [[nodiscard]] std::string_view header(std::string_view Name) const;
 };
 
-/// Identifies a call until its callback has run.
+/// Identifies a call until its callback has run or the call is cancelled.
 using call_id = std::uint64_t;
 
-/// Limits and times of a client.
+/// Timeouts and limits of a client.
 struct http_client_options {
   runtime::duration ConnectTimeout = std::chrono::milliseconds(500);
-  /// Idle connections are not used after this time and are closed at most 1 s later. It must be shorter than
-  /// the servers' keep-alive, since a connection that the server closes while a request is written makes the
-  /// outcome ambiguous.
+  /// Idle connections are not reused after this time and are closed at most 1 s later. The timeout must be
+  /// shorter than the keep-alive timeout of the servers: if a server closes a connection while a request is
+  /// being written, it is unknown whether the request was processed.
   runtime::duration IdleTimeout = std::chrono::seconds(2);
   std::size_t MaxReplyBytes = 16U << 20U;
 };
 
-/// Client for any number of addresses. Runs on one loop.
+/// HTTP client for any number of addresses, running on one event loop.
 class http_client {
 public:
   virtual ~http_client() = default;
-  /// OnDone runs exactly once, never from within call(), unless the call is abandoned.
+  /// Sends a request. OnDone runs exactly once and never from within call(); it does not run if the call is
+  /// cancelled.
   virtual call_id call(http_call Call, std::function<void(http_call_result)> OnDone) = 0;
-  /// Closes the connection of a call and drops its callback.
+  /// Closes the connection of a call and discards its callback.
   virtual void cancel(call_id Call) = 0;
-  /// Open connections to an address, idle ones included.
+  /// Number of open connections to an address, including idle ones.
   [[nodiscard]] virtual std::size_t connections(const std::string &Address) const = 0;
 };
 
-/// Client on a loop, which must outlive it.
+/// Creates a client. The loop must outlive it.
 std::unique_ptr<http_client> makeHttpClient(runtime::loop &Loop, http_client_options Options = {});
 
 } // namespace yuccaplank::wire
--- a/include/yuccaplank/wire/http_server.hpp
+++ b/include/yuccaplank/wire/http_server.hpp
@@ -1,4 +1,4 @@
-// HTTP server on h2o. Requests arrive as values; replies are sent by token, at any later time.
+// HTTP server on h2o. Each request carries a token, with which its reply can be sent at any later time.
 #pragma once
 
 #include "yuccaplank/runtime/error.hpp"
@@ -14,7 +14,7 @@
 
 namespace yuccaplank::wire {
 
-/// Identifies a request that awaits its reply.
+/// Identifies a request that has not been answered yet.
 using request_token = std::uint64_t;
 
 /// A header field.
@@ -23,25 +23,25 @@
   std::string Value;
 };
 
-/// A complete request.
+/// A completely received request.
 struct http_request {
   request_token Token = 0;
   std::string Method;
-  /// Host that the request is for, with the port if the client sent one.
+  /// Requested host, including the port if the client sent one.
   std::string Host;
-  /// Path without the query, percent-decoded.
+  /// Percent-decoded path without the query.
   std::string Path;
   std::vector<std::pair<std::string, std::string>> Query;
   std::vector<http_header> Headers;
   std::string Body;
 
-  /// Value of a header by its lower-case name; empty when absent.
+  /// Returns the value of a header, given its lower-case name; empty if the header is missing.
   [[nodiscard]] std::string_view header(std::string_view Name) const;
-  /// Value of a query parameter; empty when absent.
+  /// Returns the value of a query parameter; empty if the parameter is missing.
   [[nodiscard]] std::string_view query(std::string_view Name) const;
 };
 
-/// A reply; headers besides the content type and length are optional.
+/// A reply. Headers holds additional headers besides Content-Type and Content-Length.
 struct http_reply {
   int Status = 200;
   std::string ContentType = "application/json";
@@ -51,40 +51,40 @@
 
 /// Address and limits of a server.
 struct http_server_options {
-  /// "ip:port"; port 0 takes a free port.
+  /// Listening address in the form "ip:port"; port 0 selects a free port.
   std::string Address;
   std::size_t MaxBodyBytes = 1U << 20U;
   std::size_t MaxConnections = 4096;
   runtime::duration RequestTimeout = std::chrono::seconds(5);
 };
 
-/// Listener. Replies to requests whose connection has closed are discarded.
+/// HTTP server. Replies to requests whose connection has closed are discarded.
 class http_server {
 public:
   virtual ~http_server() = default;
-  /// Sends the reply of a request; at most one per token.
+  /// Sends the reply to a request, at most once per token.
   virtual void reply(request_token Token, http_reply Reply) = 0;
-  /// Closes the connection of a request without a reply; OnClosed is not called.
+  /// Closes the connection of a request without replying; OnClosed is not called.
   virtual void closeWithoutReply(request_token Token) = 0;
-  /// Port on which the server listens.
+  /// Listening port.
   [[nodiscard]] virtual std::uint16_t port() const = 0;
-  /// Stops accepting connections; requests in progress are still answered, then connections close.
+  /// Stops accepting connections. Requests in progress can still be answered, then their connections close.
   virtual void shutdown() = 0;
-  /// Requests that await their reply.
+  /// Number of requests that have not been answered yet.
   [[nodiscard]] virtual std::size_t pendingRequests() const = 0;
-  /// Open connections, idle ones included.
+  /// Number of open connections, including idle ones.
   [[nodiscard]] virtual std::size_t connections() const = 0;
 };
 
-/// Handlers run on the loop. OnClosed tells that the connection of an unanswered request has closed; a client
-/// that closes only its sending side counts as gone.
+/// Handlers run on the event loop. OnClosed reports that the connection of an unanswered request has closed.
+/// A client that closes only its sending side is treated as disconnected.
 struct http_server_handlers {
   std::function<void(http_request)> OnRequest;
   std::function<void(request_token)> OnClosed;
 };
 
-/// Listens at once. Errors: errc::MalformedDocument for a malformed address, otherwise the system's
-/// error.
+/// Creates a server that is already listening. Errors: errc::MalformedDocument for a malformed address,
+/// otherwise the system error.
 runtime::result<std::unique_ptr<http_server>> makeHttpServer(runtime::loop &Loop, http_server_options Options,
                                                              http_server_handlers Handlers);
 
--- a/include/yuccaplank/wire/settings_reader.hpp
+++ b/include/yuccaplank/wire/settings_reader.hpp
@@ -1,4 +1,4 @@
-// Reads JSON with comments into protobuf messages and reports every problem with its path and line.
+// Reads JSON with comments into protobuf messages and reports each problem with its path and line.
 #pragma once
 
 #include "yuccaplank/runtime/error.hpp"
@@ -22,15 +22,15 @@
   std::string Expected;
 };
 
-/// Fills Message from Text. Unknown fields, wrong types and numbers out of the field's range are issues; an
-/// empty result means success. Fields of type bytes take the JSON string as it is. Enumerations take their
-/// names.
+/// Fills Message from Text. Unknown fields, wrong types and numbers outside a field's range are reported as
+/// issues; an empty result means success. A field of type bytes takes the JSON string unchanged, and an
+/// enumeration takes the name of its value.
 std::vector<document_issue> readDocument(std::string_view Text, google::protobuf::Message &Message);
 
-/// Issues found in settings beyond their types: required fields, ranges, addresses.
+/// Fills DaemonSettings like readDocument(), then checks the ranges of its values and the log level.
 std::vector<document_issue> readSettings(std::string_view Text, google::protobuf::Message &DaemonSettings);
 
-/// One issue a line: "line 3: listen.callers: wrong_type, expected string".
+/// Formats one issue per line: "line 3: listen.callers: wrong_type, expected string".
 std::string formatIssues(const std::vector<document_issue> &Issues);
 
 } // namespace yuccaplank::wire
--- a/src/yuccaplank/wire/document_reader.cpp
+++ b/src/yuccaplank/wire/document_reader.cpp
@@ -21,10 +21,10 @@
 using nlohmann::json;
 using runtime::errc;
 
-// A hostile document must not make the list of issues large.
+// Bounds the memory that a malicious document can take.
 constexpr std::size_t MaxIssues = 100;
 
-// Sets a field or appends to a repeated one.
+// Sets a singular field or appends to a repeated field.
 struct field_writer {
   Message &Target;
   const FieldDescriptor &Field;
@@ -39,29 +39,29 @@
   }
 };
 
-// Values of one object that is being read.
+// State of one object while it is read.
 struct object_frame {
   Message *Target = nullptr;
-  // Field of the current key; null for an unknown key.
+  // Field of the current key; null if the key is unknown.
   const FieldDescriptor *Field = nullptr;
   std::string UnknownKey;
   bool InArray = false;
   int Index = 0;
-  // By field index, to find duplicate keys.
+  // Whether a key has occurred, by field index; detects duplicate keys.
   std::vector<bool> Seen;
 };
 
-// Receives the parser's events. Values of unknown keys and of wrong types are passed over as a whole.
+// Receives the parser's events. Values of unknown keys and values of the wrong type are skipped as a whole.
 class message_builder {
 public:
   message_builder(std::string_view Text, Message &Root) : Lines(Text), Root(Root) {}
 
   line_counter &lines() { return Lines; }
   std::vector<document_issue> takeIssues() { return std::move(Issues); }
-  // Records the line of each key and array element by its path.
+  // Records the line of each key and array element under its path.
   void recordLines(std::map<std::string, int> *Map) { LinesByPath = Map; }
 
-  // Events of nlohmann's SAX interface, which fixes their names.
+  // Event handlers, with the names that the SAX interface of nlohmann::json requires.
   // NOLINTBEGIN(readability-identifier-naming)
   bool null() {
     return handleScalar([this](const FieldDescriptor &Field) { addWrongType(Field); });
@@ -163,7 +163,7 @@
     std::string_view Text = Exception.what();
     constexpr std::string_view Marker = "expected ";
     std::size_t Found = Text.rfind(Marker);
-    // "unexpected …" is no expectation.
+    // The marker must not match the end of the word "unexpected".
     bool HasExpectation = Found != std::string_view::npos && (Found == 0 || Text[Found - 1] == ' ');
     addIssue(errc::MalformedDocument,
              HasExpectation ? std::string(Text.substr(Found + Marker.size())) : std::string("JSON"));
@@ -190,7 +190,7 @@
     return true;
   }
 
-  // Field that the next value belongs to.
+  // Returns the field that the next value belongs to.
   const FieldDescriptor *beginValue() {
     object_frame &Top = Frames.back();
     if (Top.InArray && LinesByPath != nullptr)
@@ -263,7 +263,7 @@
     case FieldDescriptor::CPPTYPE_INT64:
     case FieldDescriptor::CPPTYPE_UINT32:
     case FieldDescriptor::CPPTYPE_UINT64:
-      // Integers of more than 64 bits arrive as floating-point numbers too.
+      // The parser also reports integers of more than 64 bits as floating-point numbers.
       return addIssue(std::abs(Number) >= 0x1p63 ? errc::OutOfRange : errc::WrongType,
                       expectedElement(Field));
     default:
@@ -315,7 +315,7 @@
   line_counter Lines;
   Message &Root;
   std::vector<object_frame> Frames;
-  // Containers entered since the value that is passed over began.
+  // Nesting depth inside a skipped value; 0 if no value is being skipped.
   int SkipDepth = 0;
   std::vector<document_issue> Issues;
   std::map<std::string, int> *LinesByPath = nullptr;
@@ -328,7 +328,7 @@
                   /*ignore_comments=*/true);
 }
 
-// Line of a path, or of the nearest object around it.
+// Returns the line of a path, or of the nearest enclosing element if the path has no line.
 int findLine(const std::map<std::string, int> &Lines, std::string Path) {
   while (!Path.empty()) {
     auto Found = Lines.find(Path);
--- a/src/yuccaplank/wire/document_writer.cpp
+++ b/src/yuccaplank/wire/document_writer.cpp
@@ -16,7 +16,7 @@
 
 constexpr int PrettyIndent = 2;
 
-// Value of a singular field, or of one element of a repeated field.
+// Converts a singular field or, at Index, one element of a repeated field.
 ordered_json fieldToJson(const Message &Source, const FieldDescriptor &Field, int Index) {
   const auto &Reflection = *Source.GetReflection();
   bool Repeated = Field.is_repeated();
--- a/src/yuccaplank/wire/expected_values.cpp
+++ b/src/yuccaplank/wire/expected_values.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Names of the elements of a descriptor, which Element returns by index.
+// Returns "one of A, B" for the elements of a descriptor; Element returns the descriptor of one by its index.
 template <typename Function> std::string formatOneOf(int Count, Function Element) {
   std::string Text;
   for (int Index = 0; Index < Count; ++Index)
--- a/src/yuccaplank/wire/expected_values.hpp
+++ b/src/yuccaplank/wire/expected_values.hpp
@@ -9,19 +9,19 @@
 
 namespace yuccaplank::wire {
 
-/// "integer from MIN to MAX".
+/// Returns "integer from MIN to MAX".
 template <typename Integer> std::string integerRange() {
   return fmt::format("integer from {} to {}", std::numeric_limits<Integer>::min(),
                      std::numeric_limits<Integer>::max());
 }
 
-/// "one of A, B": the names of the field's enumeration.
+/// Returns "one of A, B" with the value names of the field's enumeration.
 std::string enumNames(const google::protobuf::FieldDescriptor &Field);
 
-/// "one of A, B": the names of the message's fields.
+/// Returns "one of A, B" with the field names of the message.
 std::string fieldNames(const google::protobuf::Descriptor &Type);
 
-/// What one element of the field may be.
+/// Describes the values that one element of the field may have.
 std::string expectedElement(const google::protobuf::FieldDescriptor &Field);
 
 } // namespace yuccaplank::wire
--- a/src/yuccaplank/wire/fuzz/corpus_test.cpp
+++ b/src/yuccaplank/wire/fuzz/corpus_test.cpp
@@ -9,11 +9,12 @@
 
 namespace {
 
-// Guards against documents that crash the readers, or that are accepted and then change.
-const test_case Fuzz("fuzz: corpora and mutations", [] {
-  if (auto When = section("settings"))
+// Guards against documents that crash a reader, and against accepted documents that change when they are
+// written and read again.
+const test_case Fuzz("fuzz: document readers on the corpora and their mutations", [] {
+  if (auto When = section("with settings documents"))
     fuzzCorpus("settings", wire::fuzzSettings);
-  if (auto When = section("job"))
+  if (auto When = section("with job documents"))
     fuzzCorpus("job", wire::fuzzJob);
 });
 
--- a/src/yuccaplank/wire/fuzz/fuzz_targets.cpp
+++ b/src/yuccaplank/wire/fuzz/fuzz_targets.cpp
@@ -22,8 +22,9 @@
 void checkIssues(std::string_view Text, const std::vector<document_issue> &Issues) {
   auto Lines = 1 + std::count(Text.begin(), Text.end(), '\n');
   for (const document_issue &Issue : Issues) {
-    require(Issue.Line >= 1 && Issue.Line <= Lines, "an issue names a line of the document");
-    require(Issue.Code != runtime::errc::Ok && !Issue.Expected.empty(), "an issue has a reason");
+    require(Issue.Line >= 1 && Issue.Line <= Lines, "an issue refers to a line of the document");
+    require(Issue.Code != runtime::errc::Ok && !Issue.Expected.empty(),
+            "an issue has an error code and an expected value");
   }
 }
 
@@ -36,7 +37,7 @@
   std::string Written = writeDocument(First);
   Message Second;
   require(Read(Written, Second).empty(), "a written document is accepted");
-  require(writeDocument(Second) == Written, "a document is the same after writing and reading");
+  require(writeDocument(Second) == Written, "a document does not change when it is written and read again");
 }
 
 template <typename Message>
--- a/src/yuccaplank/wire/fuzz/fuzz_targets.hpp
+++ b/src/yuccaplank/wire/fuzz/fuzz_targets.hpp
@@ -1,4 +1,4 @@
-// Fuzz targets of the document readers, in the form that libFuzzer calls.
+// Fuzz targets for the document readers, with the signature that libFuzzer calls.
 #pragma once
 
 #include <cstddef>
@@ -6,11 +6,11 @@
 
 namespace yuccaplank::wire {
 
-/// Reads arbitrary bytes as settings. Returns 0; throws std::logic_error when an accepted document changes by
-/// writing and reading, or when an issue has no line.
+/// Reads arbitrary bytes as settings. Returns 0. Throws std::logic_error if an accepted document changes when
+/// it is written and read again, or if an issue is incomplete or refers to no line of the document.
 int fuzzSettings(const std::uint8_t *Data, std::size_t Size);
 
-/// The same for job documents.
+/// Like fuzzSettings(), for job documents.
 int fuzzJob(const std::uint8_t *Data, std::size_t Size);
 
 } // namespace yuccaplank::wire
--- a/src/yuccaplank/wire/fuzz/peer_reader.cpp
+++ b/src/yuccaplank/wire/fuzz/peer_reader.cpp
@@ -30,7 +30,8 @@
   (void)Reader.next();
 }
 
-// Whether the reader kept its rules; sets Ended when it found an error.
+// Reads all available envelopes. Returns false if the reader violates one of the rules in peer_reader.hpp;
+// sets Failed if the reader reports an error.
 bool readEnvelopes(peer_protocol &Reader, bool KnowsKey, bool &Failed) {
   while (true) {
     auto Next = Reader.next();
--- a/src/yuccaplank/wire/fuzz/peer_reader.hpp
+++ b/src/yuccaplank/wire/fuzz/peer_reader.hpp
@@ -1,4 +1,4 @@
-// Fuzz target for the bytes that a peer sends.
+// Fuzz target for the peer protocol.
 #pragma once
 
 #include <cstddef>
@@ -6,10 +6,10 @@
 
 namespace yuccaplank::wire {
 
-/// Feeds the reader of envelopes and handshakes. The first byte selects the role (bit 0), whether the peer
-/// has been authenticated before (bit 1), and the size of the pieces in which the rest arrives (bits 2 to 4,
-/// as a power of 8). Returns 0, or 1 when the reader breaks a rule: an envelope of a peer that is not
-/// authenticated, authentication without the key, or a handshake message passed on.
+/// Feeds bytes of a peer to a peer_protocol. The first byte selects the role (bit 0), whether the peer is
+/// already authenticated (bit 1), and the size of the chunks in which the other bytes arrive (bits 2 to 4, as
+/// a power of 8). Returns 0, or 1 if the reader violates a rule: it must not return envelopes of a peer that
+/// is not authenticated, authenticate a peer without the key, or return a handshake message.
 int fuzzPeerReader(const std::uint8_t *Data, std::size_t Size);
 
 } // namespace yuccaplank::wire
--- a/src/yuccaplank/wire/fuzz/peer_reader_test.cpp
+++ b/src/yuccaplank/wire/fuzz/peer_reader_test.cpp
@@ -96,8 +96,8 @@
   runtime::random Random;
 };
 
-// Guards against bytes of a peer that crash the reader or get past authentication.
-const test_case PeerReader("fuzz: peer reader", [] {
+// Guards against bytes from a peer that crash the reader or bypass authentication.
+const test_case PeerReader("fuzz: peer protocol on the corpus and its mutations", [] {
   auto Corpus = readCorpus();
   CPPUNIT_ASSERT(Corpus.size() >= 10);
   if (auto Given = section("given the corpus"))
--- a/src/yuccaplank/wire/hangup_watch.hpp
+++ b/src/yuccaplank/wire/hangup_watch.hpp
@@ -1,5 +1,5 @@
-// Reports connections whose peer has closed its sending side. h2o does not read from an HTTP/1.1 connection
-// while a request is pending, so it does not notice by itself.
+// Detects connections whose peer has closed its sending side. h2o does not detect this itself while a request
+// is pending, because it does not read from an HTTP/1.1 connection then.
 #pragma once
 
 #include "yuccaplank/runtime/error.hpp"
@@ -12,7 +12,7 @@
 
 namespace yuccaplank::wire {
 
-/// One epoll set for all connections; it costs one system call for each connection and none for each request.
+/// Watches all connections with one epoll set: one system call per connection and none per request.
 class hangup_watch {
 public:
   hangup_watch(runtime::loop &Loop, std::function<void(std::uint64_t Id)> OnHangup)
@@ -21,9 +21,9 @@
   hangup_watch &operator=(const hangup_watch &) = delete;
   ~hangup_watch();
 
-  /// Errors are the system's.
+  /// Creates the epoll set. Errors are system errors.
   runtime::result<void> open();
-  /// Watches a connection until it is closed.
+  /// Watches a connection, given its file descriptor, until it is closed.
   void add(int Connection, std::uint64_t Id) const;
 
 private:
--- a/src/yuccaplank/wire/http_client.cpp
+++ b/src/yuccaplank/wire/http_client.cpp
@@ -20,13 +20,14 @@
 using runtime::duration;
 using runtime::errc;
 
-// h2o wants a time limit for each read and write; the limits of this client are its own timers.
+// h2o requires a timeout for each read and write. This client uses its own timers instead, so this timeout
+// never expires.
 constexpr std::uint64_t NoIoTimeoutMs = 365ULL * 24 * 3600 * 1000;
-// Request line and headers of a task request take about 250 bytes.
+// Initial buffer size for the request line and headers, which take about 250 bytes for a task request.
 constexpr std::size_t TypicalHeadBytes = 512;
 
-// Idle time-outs after which the pool of an address without connections is freed. Each pool holds an h2o
-// timer that every turn of the loop visits, so pools of replaced VMs must not accumulate.
+// Number of idle timeouts after which the pool of an address without connections is freed. Each pool has an
+// h2o timer that every loop iteration visits, so the pools of replaced VMs must not accumulate.
 constexpr int PoolRetentionFactor = 10;
 
 constexpr int NoContentStatus = 204;
@@ -48,18 +49,18 @@
   }
 };
 
-// One exchange, from call() until its callback has run.
+// A request and its reply, from call() until the callback has run.
 struct exchange {
   client_impl *Owner = nullptr;
   call_id Id = 0;
   std::function<void(http_call_result)> OnDone;
-  // Null before the exchange has begun and after it has ended.
+  // Null before the exchange starts and after it ends.
   h2o_http1client_t *Native = nullptr;
   std::string Head;
   std::string Body;
   std::array<h2o_iovec_t, 2> Buffers{};
   bool IsHead = false;
-  // Whether the request was handed to a connection.
+  // Whether the request was passed to a connection.
   bool Written = false;
   bool Ended = false;
   duration Timeout{};
@@ -69,7 +70,7 @@
 
 std::string_view view(const h2o_iovec_t &Text) { return {Text.base, Text.len}; }
 
-// A line break in a header would let its value end the header section.
+// A line break in a header value could inject further headers or end the header section.
 bool containsLineBreak(std::string_view Text) { return Text.find_first_of("\r\n") != std::string_view::npos; }
 
 bool isWellFormed(const http_call &Call) {
@@ -94,8 +95,8 @@
   return Head;
 }
 
-// A body that ends with the connection cannot be told from one that was cut off, and two lengths may
-// disagree.
+// A body that is delimited by the end of the connection cannot be distinguished from a truncated one, and two
+// length headers may contradict each other.
 bool hasUnambiguousLength(const http_call_result &Result) {
   return std::ranges::count_if(Result.Headers, [](const http_header &Header) {
            return Header.Name == "content-length" || Header.Name == "transfer-encoding";
@@ -169,9 +170,9 @@
       Exchange.Owner->fail(Exchange, errc::ConnectFailed);
       return nullptr;
     }
-    // h2o writes as soon as this function returns, so from here on bytes may have reached the server. h2o
-    // takes a pooled connection only after a read has shown that the server has not closed it, and repeats
-    // nothing by itself.
+    // h2o writes as soon as this function returns, so from now on bytes may have reached the server. h2o uses
+    // a pooled connection only after a read has shown that the server has not closed it, and never retries a
+    // request by itself.
     Exchange.Written = true;
     Exchange.Buffers[0] = h2o_iovec_init(Exchange.Head.data(), Exchange.Head.size());
     Exchange.Buffers[1] = h2o_iovec_init(Exchange.Body.data(), Exchange.Body.size());
@@ -197,7 +198,7 @@
     for (std::size_t Index = 0; Index < HeaderCount; ++Index)
       Exchange.Result.Headers.push_back(
           {std::string(view(*Headers[Index].name)), std::string(view(Headers[Index].value))});
-    // Replies with these statuses have no body, whatever their headers say.
+    // Replies with these statuses have no body, regardless of their headers.
     bool Bodiless = Status == NoContentStatus || Status == NotModifiedStatus;
     if (AtEnd || Bodiless) {
       Exchange.Native = nullptr;
@@ -215,8 +216,8 @@
   static int onBody(h2o_http1client_t *Native, const char *Error) {
     exchange &Exchange = getExchange(Native);
     bool AtEnd = Error == h2o_http1client_error_is_eos;
-    // h2o also reports the end of a chunked body when the connection closes between two chunks; then nothing
-    // has been read this time.
+    // h2o also reports the end of a chunked body if the connection closes between two chunks. In that case no
+    // bytes were read in this call.
     bool CutOff = AtEnd && Native->sock->bytes_read == 0;
     if ((Error && !AtEnd) || CutOff) {
       Exchange.Native = nullptr;
@@ -255,7 +256,7 @@
     return *Pools.emplace(Address, std::move(Pool)).first->second;
   }
 
-  // A pool must outlive the connects it has begun, which hold no connection yet.
+  // A pool must outlive its pending connection attempts, which are not counted as connections yet.
   [[nodiscard]] duration poolRetentionTime() const {
     return PoolRetentionFactor * Options.IdleTimeout + Options.ConnectTimeout;
   }
@@ -272,7 +273,8 @@
     });
   }
 
-  // One timer for each exchange: until it is connected the earlier of both limits applies.
+  // Each exchange has one timer. While connecting, the earlier of the connect timeout and the call's timeout
+  // applies.
   void armTimer(exchange &Exchange) {
     if (Exchange.Timer)
       Loop.cancel(std::exchange(Exchange.Timer, 0));
@@ -302,8 +304,8 @@
 
   void succeed(exchange &Exchange) { end(Exchange); }
 
-  // Callbacks run in a later turn: h2o returns the connection to its pool after the last callback of the
-  // exchange, so that a call made from there would open another one.
+  // Callbacks run in a later loop iteration: h2o returns the connection to its pool only after the last h2o
+  // callback of the exchange, so a call made from within that callback would open another connection.
   void end(exchange &Exchange) {
     Exchange.Ended = true;
     if (Exchange.Timer)
--- a/src/yuccaplank/wire/http_client_test.cpp
+++ b/src/yuccaplank/wire/http_client_test.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::string_view Answer = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\nX-Kind: Plain\r\n\r\nok";
 
-// Answers every request of a connection alike, until the client closes it.
+// Sends the same answer to each request of a connection until the client closes it.
 void answerAll(raw_socket &Socket) {
   while (!Socket.receiveMessage().empty())
     Socket.send(Answer);
@@ -60,7 +60,7 @@
   CPPUNIT_ASSERT_EQUAL(static_cast<int>(Stage), static_cast<int>(Result.Stage));
 }
 
-// Guards against altered requests and answers.
+// Guards against requests and replies that are altered on the way.
 const test_case Exchange("http client: exchange", [] {
   std::string Seen;
   scripted_server Server({[&](raw_socket &Socket) {
@@ -85,11 +85,11 @@
   CPPUNIT_ASSERT_EQUAL(Expected, Seen);
 });
 
-// Guards against connections that are not reused.
+// Guards against pooled connections that are not reused.
 const test_case Pool("http client: pooled connections", [] {
   http_client_options Options;
-  // Longer than the calls of a section take on a busy machine, where 200 ms were over between the first and
-  // the third.
+  // The timeout must exceed the duration of a section. 200 ms were too short: on a busy machine they expired
+  // between the first and the third call.
   Options.IdleTimeout = 10s;
   scripted_server Server({answerAll, answerAll, answerAll, answerAll});
   client_fixture Fixture(Options);
@@ -119,17 +119,17 @@
   }
 });
 
-// Guards against connections that are reused too late or kept for ever.
+// Guards against connections that are reused after the idle timeout or never closed.
 const test_case Idle("http client: idle connections", [] {
   http_client_options Options;
   Options.IdleTimeout = 200ms;
   scripted_server Server({answerAll, answerAll, answerAll, answerAll});
   client_fixture Fixture(Options);
-  if (auto When = section("when a connection was idle for the idle time-out")) {
+  if (auto When = section("when a connection was idle for longer than the idle timeout")) {
     Fixture.run(get(Server));
     runFor(*Fixture.Loop, 300ms);
     CPPUNIT_ASSERT(!Fixture.run(get(Server)).Error);
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("not used again", 2, Server.accepted());
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("the idle connection must not be reused", 2, Server.accepted());
   }
   if (auto When = section("when no further call is made")) {
     Fixture.run(get(Server));
@@ -137,22 +137,22 @@
   }
 });
 
-// Guards against use of a pool that was freed because its address was not used for long.
-const test_case Retention("http client: retention of pools", [] {
+// Guards against the use of a freed connection pool: pools of unused addresses are freed after some time.
+const test_case Retention("http client: calls after a pool was freed", [] {
   http_client_options Options;
   Options.IdleTimeout = 20ms;
   Options.ConnectTimeout = 100ms;
   scripted_server Server({answerAll, answerAll});
   client_fixture Fixture(Options);
   Fixture.run(get(Server));
-  // h2o closes idle connections within 1 s, and the pool goes 10 idle time-outs and a connect time-out later.
+  // h2o closes idle connections within 1 s. The pool is freed 10 idle timeouts and one connect timeout later.
   runFor(*Fixture.Loop, 2s);
   CPPUNIT_ASSERT(!Fixture.run(get(Server)).Error);
   CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Fixture.Client->connections(Server.address()));
 });
 
-// Guards against a loop that waits for an event although a write made by a posted function has completed;
-// each call then took the 100 ms that the loop waits at most.
+// Guards against an event loop that waits for an event although a write of a posted function has already
+// completed. Each call then took 100 ms, the maximum wait of the loop.
 const test_case Latency("http client: calls from posted functions", [] {
   constexpr int Calls = 200;
   scripted_server Server({answerAll});
@@ -173,33 +173,33 @@
   CPPUNIT_ASSERT(std::chrono::steady_clock::now() - Begin < Calls * 50ms);
 });
 
-// Guards against a connection that is counted for ever after its exchange failed.
+// Guards against wrong errors, and against connections that are still counted after their exchange failed.
 const test_case Failures("http client: failures", [] {
   scripted_server Server({neverAnswer});
   client_fixture Fixture;
   http_call Call = get(Server);
-  if (auto When = section("when the answer does not come in time")) {
+  if (auto When = section("when the reply does not arrive before the timeout")) {
     Call.Timeout = 50ms;
     assertFailed(errc::RequestTimeout, transfer_stage::MaybeWritten, Fixture.run(Call));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Fixture.Client->connections(Server.address()));
   }
-  if (auto When = section("when a header holds a line break")) {
+  if (auto When = section("when a header contains a line break")) {
     Call.Headers = {{"x", "1\r\ntask-id: other"}};
     assertFailed(errc::MalformedDocument, transfer_stage::NothingWritten, Fixture.run(Call));
     CPPUNIT_ASSERT_EQUAL(0, Server.accepted());
   }
-  if (auto When = section("when the address is no IP number")) {
+  if (auto When = section("when the address contains a host name")) {
     Call.Address = std::string("localhost:1");
     assertFailed(errc::MalformedDocument, transfer_stage::NothingWritten, Fixture.run(Call));
   }
-  if (auto When = section("when the connect is refused")) {
+  if (auto When = section("when the connection is refused")) {
     std::uint16_t Port = 0;
     listenOn(1, Port).close();
     Call.Address = fmt::format("127.0.0.1:{}", Port);
     assertFailed(errc::ConnectFailed, transfer_stage::NothingWritten, Fixture.run(Call));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Fixture.Client->connections(Call.Address));
   }
-  if (auto When = section("when the call is abandoned")) {
+  if (auto When = section("when the call is cancelled")) {
     call_id Id = Fixture.start(1, Call);
     runUntil(*Fixture.Loop, [&] { return Server.accepted() == 1; });
     Fixture.Client->cancel(Id);
@@ -209,7 +209,7 @@
   }
 });
 
-// Guards against replies that exhaust the memory, whatever way their length is given.
+// Guards against replies that exhaust the memory.
 const test_case LargeReplies("http client: reply size", [] {
   constexpr std::size_t Limit = 100'000;
   http_client_options Options;
@@ -222,20 +222,20 @@
       neverAnswer(Socket);
     };
   };
-  if (auto When = section("when the reply has the size limit")) {
+  if (auto When = section("when the body size equals the limit")) {
     scripted_server Server({Reply(Limit)});
     client_fixture Fixture(Options);
     CPPUNIT_ASSERT_EQUAL(Limit, Fixture.run(get(Server)).Body.size());
   }
-  if (auto When = section("when it is larger")) {
+  if (auto When = section("when the body size exceeds the limit")) {
     scripted_server Server({Reply(Limit + 1)});
     client_fixture Fixture(Options);
     assertFailed(errc::BodyTooLarge, transfer_stage::MaybeWritten, Fixture.run(get(Server)));
   }
 });
 
-// Guards against use of a client that its own callback has destroyed.
-const test_case Destruction("http client: destruction", [] {
+// Guards against the use of a client after one of its callbacks has destroyed it.
+const test_case Destruction("http client: destruction in a callback", [] {
   scripted_server Server({answerAll, answerAll});
   client_fixture Fixture;
   int Calls = 0;
--- a/src/yuccaplank/wire/http_server.cpp
+++ b/src/yuccaplank/wire/http_server.cpp
@@ -28,36 +28,37 @@
 using runtime::time_point;
 
 constexpr int ListenBacklog = 1024;
-// Connections accepted in one turn of the loop, so that a burst of them does not delay requests in hand.
+// Limit of connections accepted in one loop iteration, so that a burst does not delay requests in progress.
 constexpr int AcceptBatch = 32;
-// Streams of one HTTP/2 connection that are handled at the same time; h2o's own limit for open streams.
+// Concurrent requests of one HTTP/2 connection; equals h2o's limit for open streams.
 constexpr std::size_t MaxStreamsPerConnection = 256;
-// Names and values of the headers and the path of one request. h2o itself accepts 408 KiB.
+// Limit for the path and the header names and values of a request. The limit of h2o itself is 408 KiB.
 constexpr std::size_t MaxHeaderBytes = 16U << 10U;
 
 class server_state;
 
-// An accepted connection; owned by the server's state until h2o closes the socket.
+// An accepted connection, owned by server_state until h2o closes the socket.
 struct connection {
   server_state *Owner = nullptr;
   h2o_socket_t *Socket = nullptr;
   std::uint64_t Id = 0;
   int Fd = -1;
   std::size_t Pending = 0;
-  // The unanswered request of an HTTP/1.1 connection; 0 when there is none.
+  // The unanswered request of an HTTP/1.1 connection, or 0.
   request_token Http1Request = 0;
   bool Http2 = false;
   bool PeerClosed = false;
   time_point LastActivity;
 };
 
-// A request on its way; lives in the request's memory pool, so that h2o tells when the request has ended.
+// A request in progress. It is allocated in the memory pool of the h2o request, so that its destructor runs
+// when h2o frees the request.
 struct pending_request {
   server_state *Owner = nullptr;
   connection *Connection = nullptr;
   h2o_req_t *Native = nullptr;
   request_token Token = 0;
-  // Headers and body are sent from here without a copy.
+  // h2o sends the headers and the body from here without copying them.
   http_reply Reply;
 };
 
@@ -112,7 +113,7 @@
   return Bytes;
 }
 
-// Everything h2o refers to. It outlives the server object until the last connection has closed.
+// All state that h2o refers to. It outlives the server object until the last connection has closed.
 class server_state : public std::enable_shared_from_this<server_state> {
 public:
   server_state(runtime::loop &Loop, http_server_options OptionsIn, http_server_handlers HandlersIn)
@@ -126,11 +127,12 @@
   server_state &operator=(const server_state &) = delete;
   ~server_state() {
     closeListener();
-    // A shutdown leaves the timer of its second GOAWAY frame behind, which h2o does not expect at the end.
+    // After a graceful shutdown the timer for the second GOAWAY frame is still linked, which
+    // h2o_context_dispose() does not expect.
     h2o_timeout_unlink(&Context.http2._graceful_shutdown_timeout);
     h2o_multithread_queue_t *Queue = Context.queue;
     h2o_context_dispose(&Context);
-    // h2o 2.2 ends the queue of its context without freeing it.
+    // h2o 2.2 disposes of the queue of its context without freeing it.
     std::free(Queue);
     h2o_config_dispose(&Config);
   }
@@ -178,7 +180,7 @@
     closeIdle();
   }
 
-  // The server object is being destroyed: nothing more is reported, and connections close.
+  // Called when the server object is destroyed: no handler is called any more, and all connections close.
   void detach() {
     Handlers = {};
     shutdown();
@@ -257,7 +259,7 @@
 
   void onConnectionClosed(connection &Closed) {
     Connections.erase(Closed.Id);
-    // h2o still uses its context while it closes the connection.
+    // h2o still uses its context while it closes the connection, so the state is destroyed later.
     if (SelfReference && Connections.empty())
       Loop.post([Last = std::move(SelfReference)] {});
   }
@@ -271,16 +273,16 @@
       endHttp1Request(*Found->second);
   }
 
-  // The caller of a pending HTTP/1.1 request has gone. A client that only closed its sending side is treated
-  // alike, since the two cannot be told apart.
-  void endHttp1Request(connection &Gone) {
-    request_token Token = Gone.Http1Request;
-    ::shutdown(Gone.Fd, SHUT_RDWR);
+  // Ends the pending HTTP/1.1 request of a disconnected client. A client that closed only its sending side is
+  // treated the same way, because the two cases cannot be distinguished.
+  void endHttp1Request(connection &Connection) {
+    request_token Token = Connection.Http1Request;
+    ::shutdown(Connection.Fd, SHUT_RDWR);
     notifyClosed(Token);
     endRequest(Token);
   }
 
-  // Ends a request without a caller; h2o closes the connection when its write fails.
+  // Ends a request whose client has disconnected; h2o closes the connection when its write fails.
   void endRequest(request_token Token) {
     auto Found = Requests.find(Token);
     if (Found == Requests.end())
@@ -296,8 +298,9 @@
     });
   }
 
-  // A connection that has delivered no request for twice the time-out is closed: h2o restarts its own
-  // time-out whenever a part of a body arrives, so a slow sender could hold a connection for ever.
+  // A connection on which no request has ended for twice the request timeout is closed. The timeout of h2o is
+  // not sufficient: it restarts whenever a part of a body arrives, so a slow sender could keep a connection
+  // open forever.
   void startSweep() {
     SweepTimer = Loop.after(Options.RequestTimeout / 2, [Weak = weak_from_this()] {
       if (auto State = Weak.lock())
@@ -317,8 +320,8 @@
       startSweep();
   }
 
-  // Closes HTTP/1.1 connections that carry no request, unless one has arrived unread. h2o itself ends HTTP/2
-  // connections by GOAWAY.
+  // Closes idle HTTP/1.1 connections, unless they have unread input. h2o itself closes HTTP/2 connections
+  // with GOAWAY.
   void closeIdle() {
     for (auto &[Id, Connection] : Connections) {
       char Byte = 0;
@@ -404,7 +407,7 @@
     h2o_send(Native, &Body, Reply.Body.empty() ? 0 : 1, H2O_SEND_STATE_FINAL);
   }
 
-  // Runs when h2o frees the request, after its reply was written or its connection has closed.
+  // Called when h2o frees the request, after the reply was written or the connection has closed.
   void onRequestEnded(const pending_request &Request) {
     if (Requests.erase(Request.Token) > 0)
       notifyClosed(Request.Token);
@@ -434,7 +437,7 @@
   request_token LastRequestToken = 0;
   std::uint64_t LastConnection = 0;
   runtime::timer_id SweepTimer = 0;
-  // Keeps the state while connections remain after the server object has gone.
+  // Keeps the state alive while connections remain after the server object was destroyed.
   std::shared_ptr<server_state> SelfReference;
 };
 
--- a/src/yuccaplank/wire/http_server_test.cpp
+++ b/src/yuccaplank/wire/http_server_test.cpp
@@ -32,7 +32,7 @@
     CPPUNIT_ASSERT(Made.has_value());
     Server = std::move(Made.value());
   }
-  // The server's sockets end in the loop.
+  // The loop has to run to close the server's sockets.
   ~server_fixture() {
     Server.reset();
     runFor(*Loop, 20ms);
@@ -46,13 +46,13 @@
     Reply.Headers.push_back({std::string("Retry-After"), std::string("3")});
     return Reply;
   }
-  /// Runs a blocking client beside the loop.
+  /// Runs a blocking client in another thread while the loop runs.
   template <typename Function> auto runInThread(Function Client) {
     auto Result = std::async(std::launch::async, std::move(Client));
     runUntil(*Loop, [&] { return Result.wait_for(0s) == std::future_status::ready; });
     return Result.get();
   }
-  /// Connects and sends a request; the reply is still to be read.
+  /// Connects and sends a request, without reading the reply.
   raw_socket request(std::string_view Text = Get) const {
     raw_socket Socket = connectTo(Server->port());
     std::size_t Before = Requests.size();
@@ -83,7 +83,8 @@
   CPPUNIT_ASSERT_EQUAL(fmt::format("HTTP/1.1 {}", Status), std::string(Reply.substr(0, 12)));
 }
 
-// Guards against altered requests and replies, and against replies that only work from within the handler.
+// Guards against requests and replies that are altered on the way, and against replies that only work from
+// within the request handler.
 const test_case Exchange("http server: exchange", [] {
   server_fixture Fixture;
   raw_socket Client = Fixture.request();
@@ -96,7 +97,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("1"), std::string(Request.header("x-one")));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Fixture.Server->pendingRequests());
   }
-  if (auto When = section("when the reply comes later")) {
+  if (auto When = section("when the reply is sent after the handler has returned")) {
     runFor(*Fixture.Loop, 50ms);
     Fixture.Server->reply(Fixture.Requests[0].Token, server_fixture::ok());
     std::string Reply = Fixture.runInThread([&] { return Client.receiveMessage(); });
@@ -105,7 +106,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Fixture.Server->pendingRequests());
     CPPUNIT_ASSERT(Fixture.Closed.empty());
   }
-  if (auto When = section("when the connection is used again")) {
+  if (auto When = section("when the connection is reused")) {
     Fixture.AnswerAtOnce = true;
     Fixture.Server->reply(Fixture.Requests[0].Token, server_fixture::ok());
     std::string Second = Fixture.runInThread([&] {
@@ -116,19 +117,20 @@
     assertStatus(200, Second);
     CPPUNIT_ASSERT_EQUAL(std::string("abc"), Fixture.Requests[1].Body);
   }
-  if (auto When = section("when the request is dropped")) {
+  if (auto When = section("when the connection is closed without a reply")) {
     Fixture.Server->closeWithoutReply(Fixture.Requests[0].Token);
     CPPUNIT_ASSERT_EQUAL(std::string(), Fixture.runInThread([&] { return Client.receiveMessage(); }));
     CPPUNIT_ASSERT(Fixture.Closed.empty());
   }
 });
 
-// Guards against work for callers that have gone, and against replies to freed requests.
-const test_case DisconnectedCallers("http server: callers that have gone", [] {
+// Guards against missed disconnects, which leave work running for callers that are gone, and against replies
+// to requests that h2o has freed.
+const test_case DisconnectedCallers("http server: disconnected callers", [] {
   server_fixture Fixture;
   raw_socket Client = Fixture.request();
   request_token Token = Fixture.Requests[0].Token;
-  if (auto When = section("when the connection closes")) {
+  if (auto When = section("when the caller closes the connection")) {
     Client.close();
     runUntil(*Fixture.Loop, [&] { return !Fixture.Closed.empty(); });
     CPPUNIT_ASSERT_EQUAL(Token, Fixture.Closed[0]);
@@ -137,20 +139,20 @@
     runUntil(*Fixture.Loop, [&] { return Fixture.Server->connections() == 0; });
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Fixture.Closed.size());
   }
-  if (auto When = section("when it closes together with the reply")) {
+  if (auto When = section("when the caller closes the connection just before the reply")) {
     Client.close();
     Fixture.Server->reply(Token, server_fixture::ok());
     runUntil(*Fixture.Loop, [&] { return Fixture.Server->connections() == 0; });
     CPPUNIT_ASSERT(Fixture.Closed.empty());
   }
-  if (auto When = section("when the server object goes first")) {
+  if (auto When = section("when the server object is destroyed first")) {
     Fixture.Server.reset();
     CPPUNIT_ASSERT(Fixture.runInThread([&] { return Client.closedByPeer(); }));
     CPPUNIT_ASSERT(Fixture.Closed.empty());
   }
 });
 
-// Guards against callers that exhaust connections or memory.
+// Guards against callers that exhaust the connections or the memory.
 const test_case Limits("http server: limits", [] {
   http_server_options Options;
   Options.MaxBodyBytes = 100;
@@ -159,23 +161,23 @@
   server_fixture Fixture(Options);
   Fixture.AnswerAtOnce = true;
   std::string Body(101, 'x');
-  if (auto When = section("when a body has the size limit")) {
+  if (auto When = section("when the body size equals the limit")) {
     Body.pop_back();
     assertStatus(200, Fixture.exchange(fmt::format("PUT / HTTP/1.1\r\ncontent-length: 100\r\n\r\n{}", Body)));
   }
-  if (auto When = section("when a declared body is too large")) {
+  if (auto When = section("when the declared body size exceeds the limit")) {
     std::string Reply =
         Fixture.exchange(fmt::format("PUT / HTTP/1.1\r\ncontent-length: 101\r\n\r\n{}", Body));
     assertStatus(413, Reply);
     CPPUNIT_ASSERT(Fixture.Requests.empty());
   }
-  if (auto When = section("when a chunked body is too large")) {
+  if (auto When = section("when the size of a chunked body exceeds the limit")) {
     std::string Reply = Fixture.exchange(
         fmt::format("PUT / HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n65\r\n{}\r\n0\r\n\r\n", Body));
     assertStatus(413, Reply);
   }
-  if (auto When = section("when the headers are too large")) {
-    // Above the server's own limit, and above the one of h2o.
+  if (auto When = section("when the header size exceeds the limit")) {
+    // The first size exceeds only the limit of this server, the second one also that of h2o.
     for (std::size_t Bytes : {20'000UL, 500'000UL}) {
       std::string Reply =
           Fixture.exchange(fmt::format("GET / HTTP/1.1\r\nx: {}\r\n\r\n", std::string(Bytes, 'x')));
@@ -195,12 +197,12 @@
   }
 });
 
-// Guards against connections that are held by sending slowly.
+// Guards against callers that keep a connection open forever by sending slowly.
 const test_case SlowRequests("http server: slow requests", [] {
   http_server_options Options;
   Options.RequestTimeout = 200ms;
   server_fixture Fixture(Options);
-  // Sends one byte of the request each 50 ms until the server closes; returns whether it does within 3 s.
+  // Sends one byte of the request every 50 ms. Returns whether the server closes the connection within 3 s.
   auto SendSlowly = [&](std::string_view Head, std::string_view Rest) {
     return Fixture.runInThread([&, Head, Rest] {
       raw_socket Socket = connectTo(Fixture.Server->port());
@@ -217,11 +219,11 @@
   };
   if (auto When = section("when nothing is sent"))
     CPPUNIT_ASSERT(SendSlowly("", ""));
-  if (auto When = section("when the head is slow"))
+  if (auto When = section("when the header is sent slowly"))
     CPPUNIT_ASSERT(SendSlowly("GET / HTTP/1.1\r\nx: ", "x"));
-  if (auto When = section("when the body is slow"))
+  if (auto When = section("when the body is sent slowly"))
     CPPUNIT_ASSERT(SendSlowly("PUT / HTTP/1.1\r\ncontent-length: 1000\r\n\r\n", "x"));
-  if (auto When = section("when the reply is slow")) {
+  if (auto When = section("when the reply takes longer than the request timeout")) {
     raw_socket Client = Fixture.request();
     runFor(*Fixture.Loop, 1s);
     Fixture.Server->reply(Fixture.Requests[0].Token, server_fixture::ok());
@@ -229,7 +231,7 @@
   }
 });
 
-// Guards against a shutdown that loses requests in progress or leaves connections behind.
+// Guards against a shutdown that loses requests in progress or leaves connections open.
 const test_case Shutdown("http server: shutdown", [] {
   server_fixture Fixture;
   raw_socket Idle = connectTo(Fixture.Server->port());
@@ -243,7 +245,7 @@
   }
   if (auto When = section("when a connection is idle"))
     CPPUNIT_ASSERT(Fixture.runInThread([&] { return Idle.closedByPeer(); }));
-  if (auto When = section("when another server takes the port")) {
+  if (auto When = section("when another server listens on the same port")) {
     http_server_options Options;
     Options.Address = fmt::format("127.0.0.1:{}", Fixture.Server->port());
     auto Second = makeHttpServer(*Fixture.Loop, Options, {});
@@ -251,7 +253,7 @@
   }
 });
 
-// Client preface, empty SETTINGS, and the HEADERS of "GET /" on stream 1.
+// Returns the client preface, an empty SETTINGS frame, and the HEADERS frame of "GET /" on stream 1.
 std::string http2Request() {
   constexpr std::string_view Parts[] = {"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n",
                                         {"\0\0\0\x4\0\0\0\0\0", 9},
@@ -263,7 +265,7 @@
   return Text;
 }
 
-// Payload of the first DATA frame.
+// Returns the payload of the first DATA frame.
 std::string http2Body(const raw_socket &Socket) {
   for (;;) {
     std::string Head = Socket.receive(9);
@@ -276,7 +278,7 @@
   }
 }
 
-// Guards against HTTP/2 requests without reply, and against callers on it that vanish unnoticed.
+// Guards against HTTP/2 requests that are not answered, and against missed disconnects of HTTP/2 callers.
 const test_case Http2("http server: HTTP/2", [] {
   server_fixture Fixture;
   raw_socket Client = Fixture.request(http2Request());
--- a/src/yuccaplank/wire/line_counter.hpp
+++ b/src/yuccaplank/wire/line_counter.hpp
@@ -1,4 +1,4 @@
-// Lines of the tokens that the JSON parser reads.
+// Line numbers of the tokens that the JSON parser reads.
 #pragma once
 
 #include <algorithm>
@@ -8,14 +8,14 @@
 
 namespace yuccaplank::wire {
 
-/// Follows the parser through the text and knows the line of the token it has read last.
+/// Tracks the parser's position and computes the line of the last token.
 class line_counter {
 public:
   explicit line_counter(std::string_view Text) : CountedUntil(Text.data()), ConsumedUntil(Text.data()) {}
-  /// End of the text that the parser has taken.
+  /// Sets the end of the text that the parser has consumed.
   void setConsumed(const char *End) { ConsumedUntil = End; }
-  /// Line of the last token, from 1. The parser has read one character beyond a number, which may be a
-  /// newline; that one does not count.
+  /// Returns the line of the last token, counted from 1. The last consumed character is not counted: after a
+  /// number it is the character behind the token, which may be a newline.
   int line() {
     const char *Last = ConsumedUntil > CountedUntil ? ConsumedUntil - 1 : CountedUntil;
     Line += static_cast<int>(std::count(CountedUntil, Last, '\n'));
@@ -29,7 +29,7 @@
   int Line = 1;
 };
 
-/// Input iterator that reports its progress to a line counter.
+/// Input iterator that reports its position to a line counter.
 class counting_iterator {
 public:
   using iterator_category = std::input_iterator_tag;
--- a/src/yuccaplank/wire/message_json.hpp
+++ b/src/yuccaplank/wire/message_json.hpp
@@ -1,4 +1,4 @@
-// JSON value of a protobuf message, and string helpers of the codecs.
+// Conversion of protobuf messages to JSON values.
 #pragma once
 
 #include <google/protobuf/message.h>
@@ -8,10 +8,10 @@
 
 namespace yuccaplank::wire {
 
-/// Fields keep the order of the schema.
+/// Converts a message; its fields keep the order of the schema.
 nlohmann::ordered_json messageToJson(const google::protobuf::Message &Message);
 
-/// Whether Text can be a JSON string.
+/// Returns whether Text is valid UTF-8, as a JSON string has to be.
 bool isUtf8(const std::string &Text);
 
 } // namespace yuccaplank::wire
--- a/src/yuccaplank/wire/peer_connection.cpp
+++ b/src/yuccaplank/wire/peer_connection.cpp
@@ -18,11 +18,11 @@
 
 using runtime::errc;
 
-// Large enough that an envelope of any allowed size does not wait for window updates.
+// Flow-control window, large enough that no envelope of allowed size has to wait for window updates.
 constexpr std::int32_t WindowBytes = 64 << 20;
-// Bytes handed to the socket in one write.
+// Limit for the bytes of one socket write.
 constexpr std::size_t MaxWriteBytes = 512 * 1024;
-// Emptied buffers above this size are freed: a VM may keep 100 connections open within 128 MB.
+// Empty buffers with a larger capacity are freed, so that 100 connections of a VM fit into 128 MB.
 constexpr std::size_t MaxRetainedBufferBytes = 64 * 1024;
 
 void clearBuffer(std::string &Buffer) {
@@ -187,7 +187,7 @@
       clearBuffer(Output);
       OutputSent = 0;
     } else if (OutputSent >= MaxRetainedBufferBytes && 2 * OutputSent >= Output.size()) {
-      // Waiting for half of the buffer keeps the moved bytes below the sent ones.
+      // Erasing only when half of the buffer is sent ensures that fewer bytes are moved than sent.
       Output.erase(0, OutputSent);
       OutputSent = 0;
     }
@@ -244,7 +244,7 @@
     scheduleFlush();
   }
 
-  // Handles the envelopes that have arrived completely.
+  // Handles all completely received envelopes.
   void handleEnvelopes() {
     while (!Closed) {
       bool WasAuthenticated = authenticated();
--- a/src/yuccaplank/wire/peer_link.cpp
+++ b/src/yuccaplank/wire/peer_link.cpp
@@ -22,24 +22,25 @@
 using runtime::errc;
 
 constexpr int ListenBacklog = 256;
-// Accepted connections that have not finished the handshake; bounds the memory that strangers can take.
+// Limit for accepted connections that have not completed the handshake. It bounds the memory that
+// unauthenticated clients can take.
 constexpr std::size_t MaxUnauthenticatedConnections = 256;
 
-// No VM id begins like this.
+// Prefix of keys that hold an address instead of a VM id. No VM id begins with it.
 const std::string AddressKeyPrefix = "@";
 
 bool isSameIncarnation(const schema::incarnation &Left, const schema::incarnation &Right) {
   return Left.vm() == Right.vm() && Left.started_ms() == Right.started_ms() && Left.nonce() == Right.nonce();
 }
 
-// State per remote VM. The connections belong to one incarnation, usually there is one; two arise when both
-// VMs connect at the same time. Each end then keeps sending on the connection that it authenticated first,
-// so that neither order nor messages are lost.
+// State of one remote VM. All its connections belong to the same incarnation. Usually there is one; if both
+// VMs connect at the same time, there are two. Each side then keeps sending on the connection that it
+// authenticated first, so that no envelope is lost or reordered.
 struct peer_state {
   schema::incarnation Incarnation;
   std::set<peer_connection *> Connections;
   peer_connection *ActiveConnection = nullptr;
-  // Frames that wait for a connection.
+  // Encoded envelopes that wait for a connection.
   std::deque<std::string> WaitingFrames;
   std::size_t WaitingBytes = 0;
   bool Connecting = false;
@@ -57,7 +58,7 @@
 
 struct connection_entry {
   std::unique_ptr<peer_connection> Connection;
-  // Key of the peer for which it was opened; empty when it was accepted.
+  // Key in Peers of the peer that the connection was opened to; empty for an accepted connection.
   std::string Key;
 };
 
@@ -156,7 +157,7 @@
     return Result;
   }
 
-  // Peers whose id is not known before their hello are kept under their address until then.
+  // Returns the key of a peer in Peers: its id or, while the id is unknown, its address with a prefix.
   std::string peerKey(const std::string &Vm, const std::string &Address) const {
     if (!Vm.empty())
       return Vm;
@@ -183,7 +184,7 @@
   void handleConnectFailure(const std::string &Key, const std::string &Address, errc Reason) {
     peer_state &Peer = Peers[Key];
     Peer.Connecting = false;
-    // The peer may have connected meanwhile.
+    // The peer may have connected to this VM in the meantime.
     if (Peer.ActiveConnection != nullptr)
       return;
     Peer.clearWaiting();
@@ -209,7 +210,7 @@
   void onAuthenticated(peer_connection &Connection) override {
     std::string Vm = Connection.vm();
     peer_state &Peer = Peers[Vm];
-    // The VM has restarted: its former incarnation has no use for its connections.
+    // The VM has restarted, so the connections of its previous incarnation are obsolete.
     if (!Peer.Connections.empty() && !isSameIncarnation(Peer.Incarnation, Connection.peer()))
       closeConnections(Peer, errc::ConnectionLost);
     Peer.Incarnation = Connection.peer();
@@ -247,7 +248,8 @@
       });
   }
 
-  // Messages may be lost with any connection to an incarnation, so all of them end with the first.
+  // The loss of any connection may lose envelopes, so all connections to the incarnation are closed: each
+  // close() leads here again. The last one is reported.
   void onAuthenticatedClosed(peer_state &Peer, peer_connection &Connection, errc Reason) {
     if (Peer.ActiveConnection == &Connection)
       Peer.ActiveConnection = nullptr;
@@ -284,7 +286,7 @@
 
 runtime::result<std::unique_ptr<peer_transport>>
 makePeerTransport(runtime::loop &Loop, peer_transport_options Options, peer_transport_handlers Handlers) {
-  // With an empty key every proof could be computed by anyone.
+  // With an empty key, anyone could compute a valid proof.
   if (Options.Key.empty())
     return errc::MissingField;
   auto Transport = std::make_unique<transport_impl>(Loop, std::move(Options), std::move(Handlers));
--- a/src/yuccaplank/wire/peer_link_test.cpp
+++ b/src/yuccaplank/wire/peer_link_test.cpp
@@ -37,7 +37,7 @@
   return Message;
 }
 
-// One VM's transport and what it reported.
+// The transport of one VM, with the events it has reported.
 struct test_vm {
   test_vm(runtime::loop &Loop, peer_transport_options Options) : Name(Options.Self.vm()) {
     peer_transport_handlers Handlers;
@@ -57,7 +57,7 @@
     return Transport->send(To.Name, To.address(), std::move(Message));
   }
   [[nodiscard]] std::string address() const { return "127.0.0.1:" + std::to_string(Transport->port()); }
-  // Whether probes 0 to Count-1 have arrived, in order and once each.
+  // Returns whether exactly the probes 0 to Count-1 have arrived; fails if they are not in order.
   [[nodiscard]] bool receivedProbes(std::uint64_t Count) const {
     for (std::size_t Index = 0; Index < Messages.size(); ++Index)
       CPPUNIT_ASSERT_EQUAL(static_cast<std::uint64_t>(Index), Messages[Index].dispatch().cancel().job());
@@ -81,8 +81,8 @@
   return Options;
 }
 
-// Guards against lost, repeated, reordered and damaged envelopes, and against messages attributed to the
-// wrong incarnation.
+// Guards against lost, repeated, reordered and damaged envelopes, and against envelopes that are attributed
+// to the wrong incarnation.
 const test_case Delivery("peer link: delivery", [] {
   auto Loop = runtime::makeLoop();
   test_vm First(*Loop, makeOptions("vm1"));
@@ -93,7 +93,7 @@
     runUntil(*Loop, [&] { return Second.receivedProbes(5000); });
     CPPUNIT_ASSERT_EQUAL(std::string("vm1"), Second.Senders.front().vm());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(5000), First.Transport->totals().MessagesSent);
-    if (auto When = section("when the other end answers")) {
+    if (auto When = section("when the other VM answers")) {
       Second.send(First, makeProbe(0));
       runUntil(*Loop, [&] { return First.receivedProbes(1); });
       CPPUNIT_ASSERT_EQUAL(std::int64_t(77), First.Senders.front().started_ms());
@@ -119,7 +119,7 @@
     }
     runUntil(*Loop, [&] { return First.receivedProbes(2000) && Second.receivedProbes(2000); });
     CPPUNIT_ASSERT(First.Failures.empty() && First.Closed.empty());
-    if (auto When = section("when one disconnects")) {
+    if (auto When = section("when one VM disconnects")) {
       First.Transport->disconnect("vm2");
       runUntil(*Loop, [&] { return First.Closed.size() == 1 && Second.Closed.size() == 1; });
       runFor(*Loop, 20ms);
@@ -129,13 +129,13 @@
   }
 });
 
-// Guards against a new VM that cannot reach seeds, of which it knows only the addresses, and against answers
-// that find no way back to it.
-const test_case UnknownPeers("peer link: unknown ids and addresses", [] {
+// Guards against a new VM that cannot reach the seeds, of which it knows only the addresses, and against
+// answers that do not reach the new VM.
+const test_case UnknownPeers("peer link: VMs with unknown id or address", [] {
   auto Loop = runtime::makeLoop();
   test_vm First(*Loop, makeOptions("vm1"));
   test_vm Second(*Loop, makeOptions("vm2"));
-  if (auto Given = section("given only the address")) {
+  if (auto Given = section("given only the address of a VM")) {
     for (std::uint64_t Index = 0; Index < 3; ++Index)
       First.Transport->send("", Second.address(), makeProbe(Index));
     runUntil(*Loop, [&] { return Second.receivedProbes(3); });
@@ -149,7 +149,7 @@
     First.Transport->send("", Second.address(), makeProbe(5));
     runUntil(*Loop, [&] { return Second.receivedProbes(6); });
   }
-  if (auto Given = section("given the VM's own address, or only an id without a connection")) {
+  if (auto Given = section("given the address of the sender, or the id of a VM that is not connected")) {
     First.Transport->send("", First.address(), makeProbe(0));
     First.Transport->send("vm2", "", makeProbe(0));
     runUntil(*Loop, [&] { return First.Failures.size() == 2; });
@@ -157,8 +157,9 @@
   }
 });
 
-// Guards against a sender that waits for ever, or takes a dead incarnation for its successor.
-const test_case ConnectionEnds("peer link: ends of connections", [] {
+// Guards against a sender that waits forever for a connection that has ended, or that mistakes an ended
+// incarnation for its successor.
+const test_case ConnectionEnds("peer link: closed and failed connections", [] {
   auto Loop = runtime::makeLoop();
   test_vm First(*Loop, makeOptions("vm1"));
   auto Second = std::make_unique<test_vm>(*Loop, makeOptions("vm2", 10));
@@ -177,7 +178,7 @@
     runUntil(*Loop, [&] { return First.receivedProbes(1); });
     CPPUNIT_ASSERT_EQUAL(std::int64_t(20), First.Senders.front().started_ms());
   }
-  if (auto Given = section("given a restarted VM that connects before its former connection has ended")) {
+  if (auto Given = section("given a restarted VM that connects before its previous connection has closed")) {
     First.send(*Second, makeProbe(0));
     runUntil(*Loop, [&] { return Second->receivedProbes(1); });
     test_vm Successor(*Loop, makeOptions("vm2", 20));
@@ -187,7 +188,7 @@
     First.send(Successor, makeProbe(0));
     runUntil(*Loop, [&] { return Successor.receivedProbes(1); });
   }
-  if (auto Given = section("given an address at which nobody listens")) {
+  if (auto Given = section("given an address without a listener")) {
     std::string Address = Second->address();
     Second.reset();
     First.Transport->send("vm2", Address, makeProbe(0));
@@ -209,14 +210,14 @@
     First.send(*Second, makeProbe(0));
     runUntil(*Loop, [&] { return Second->receivedProbes(1); });
   }
-  if (auto Given = section("given the VM's own address")) {
+  if (auto Given = section("given the address of the sender")) {
     First.Transport->send("vm1", First.address(), makeProbe(0));
     runUntil(*Loop, [&] { return First.Failures.size() == 1; });
     CPPUNIT_ASSERT(First.Messages.empty());
   }
 });
 
-// Guards against envelopes accepted from, or sent to, peers that do not know the key.
+// Guards against envelopes that are accepted from or sent to peers that do not know the key.
 const test_case Authentication("peer link: authentication", [] {
   auto Loop = runtime::makeLoop();
   test_vm First(*Loop, makeOptions("vm1"));
@@ -230,14 +231,14 @@
     CPPUNIT_ASSERT(First.Messages.empty() && Second.Messages.empty());
     CPPUNIT_ASSERT(First.Closed.empty() && Second.Closed.empty());
   }
-  if (auto Given = section("given no key")) {
+  if (auto Given = section("given an empty key")) {
     auto Options = makeOptions("vm2");
     Options.Key.clear();
     CPPUNIT_ASSERT(!makePeerTransport(*Loop, Options, {}));
   }
 });
 
-// Opens a plain connection and writes bytes.
+// Opens a TCP connection and sends bytes; returns the file descriptor.
 int connectAndSend(std::uint16_t Port, const std::string &Bytes) {
   int Fd = socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in Address{};
@@ -250,7 +251,7 @@
   return Fd;
 }
 
-// Reads until the peer closes; false while it is open.
+// Discards received bytes; returns whether the peer has closed the connection.
 bool closedByPeer(int Fd) {
   std::string Buffer(4096, '\0');
   ssize_t Count = 1;
@@ -259,8 +260,9 @@
   return Count == 0 || errno == ECONNRESET;
 }
 
-// Guards against strangers that crash a VM, hold its connections, or take its memory.
-const test_case InvalidClients("peer link: strangers", [] {
+// Guards against unauthenticated clients that crash a VM, keep connections open, or take its memory by
+// sending invalid input.
+const test_case InvalidClients("peer link: invalid input from unauthenticated clients", [] {
   auto Loop = runtime::makeLoop();
   auto Options = makeOptions("vm1");
   Options.ConnectTimeout = 100ms;
@@ -276,8 +278,8 @@
   }
 });
 
-// Guards against idle strangers that take all connections of a VM.
-const test_case UnauthenticatedConnections("peer link: crowd of strangers", [] {
+// Guards against idle unauthenticated clients that take all connections of a VM.
+const test_case UnauthenticatedConnections("peer link: limit of unauthenticated connections", [] {
   auto Loop = runtime::makeLoop();
   auto Options = makeOptions("vm1");
   Options.ConnectTimeout = 10min;
@@ -294,15 +296,16 @@
   test_vm Second(*Loop, makeOptions("vm2"));
   Second.send(First, makeProbe(0));
   runUntil(*Loop, [&] {
-    // The first attempts may come before the ends of the crowd have been noticed.
+    // The first attempts may fail, because the VM has not yet detected that the other connections are closed.
     if (!std::exchange(Second.Failures, {}).empty())
       Second.send(First, makeProbe(0));
     return First.receivedProbes(1);
   });
 });
 
-// Guards against a queue that grows without bound while a peer does not read.
-const test_case SizeLimits("peer link: bounds", [] {
+// Guards against oversized envelopes, and against a queue that grows without bound while a peer does not
+// read.
+const test_case SizeLimits("peer link: size limits", [] {
   auto Loop = runtime::makeLoop();
   auto Options = makeOptions("vm1");
   Options.MaxEnvelopeBytes = 10'000;
@@ -318,13 +321,13 @@
     runUntil(*Loop, [&] { return Second.Closed.size() == 1; });
     CPPUNIT_ASSERT(First.Messages.empty());
   }
-  if (auto Given = section("given a full queue before the connection exists")) {
+  if (auto Given = section("given a full queue before the connection is established")) {
     CPPUNIT_ASSERT(!First.send(Second, Large));
     CPPUNIT_ASSERT(!First.send(Second, Large));
     CPPUNIT_ASSERT(First.send(Second, Large) == runtime::errc::QueueFull);
     runUntil(*Loop, [&] { return Second.Messages.size() == 2; });
   }
-  if (auto Given = section("given a full queue of an open connection")) {
+  if (auto Given = section("given a full queue on an established connection")) {
     First.send(Second, makeProbe(0));
     runUntil(*Loop, [&] { return Second.receivedProbes(1); });
     CPPUNIT_ASSERT(!First.send(Second, Large));
@@ -345,7 +348,7 @@
   return peer_protocol(std::move(Options));
 }
 
-// Guards against every way past the handshake that does not need the key.
+// Guards against peers that pass the handshake without knowing the key.
 const test_case Handshake("peer protocol: handshake", [] {
   auto Client = makeProtocol(peer_role::Client, "vm1", 'c');
   auto Server = makeProtocol(peer_role::Server, "vm2", 's');
@@ -357,7 +360,7 @@
   if (auto Given = section("given an envelope before the hello")) {
     CPPUNIT_ASSERT(Rejected(Server, encodeEnvelope(makeProbe(1))));
   }
-  if (auto Given = section("given a hello from the VM itself, or without a whole nonce, or without a name")) {
+  if (auto Given = section("given a hello with this VM's own id, with a short nonce, or without a VM id")) {
     CPPUNIT_ASSERT(Rejected(Server, makeProtocol(peer_role::Client, "vm2", 'c').helloFrame()));
     auto Other = makeProtocol(peer_role::Server, "vm2", 's');
     schema::envelope Message;
@@ -367,13 +370,13 @@
     auto Third = makeProtocol(peer_role::Server, "vm2", 's');
     CPPUNIT_ASSERT(Rejected(Third, makeProtocol(peer_role::Client, "", 'c').helloFrame()));
   }
-  if (auto Given = section("given hellos of both ends")) {
+  if (auto Given = section("given hellos from both sides")) {
     Client.feed(Server.helloFrame());
     Server.feed(Client.helloFrame());
     CPPUNIT_ASSERT(!Client.next().value() && !Server.next().value());
     std::string ClientProof = Client.takeHandshakeOutput();
     std::string ServerProof = Server.takeHandshakeOutput();
-    if (auto When = section("when the right proofs follow")) {
+    if (auto When = section("when valid proofs follow")) {
       Server.feed(ClientProof + encodeEnvelope(makeProbe(5)));
       CPPUNIT_ASSERT_EQUAL(std::uint64_t(5), Server.next().value()->dispatch().cancel().job());
       Client.feed(ServerProof);
@@ -389,11 +392,11 @@
         Client.feed("\x02\xff\xff");
         CPPUNIT_ASSERT(Client.next().error() == runtime::errc::MalformedDocument);
       }
-      if (auto Then = section("then an endless length is an error")) {
+      if (auto Then = section("then a length prefix that does not end is an error")) {
         Server.feed("\xff\xff\xff\xff\xff\xff");
         CPPUNIT_ASSERT(!Server.next());
       }
-      if (auto Then = section("then an envelope of an unknown kind is skipped")) {
+      if (auto Then = section("then an envelope of an unknown type is skipped")) {
         Server.feed(std::string("\x04\xfa\x06\x01x", 5) + encodeEnvelope(makeProbe(6)));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(6), Server.next().value()->dispatch().cancel().job());
       }
@@ -405,7 +408,7 @@
       CPPUNIT_ASSERT(Rejected(Server, encodeEnvelope(makeProbe(1))));
       CPPUNIT_ASSERT(Rejected(Client, Server.helloFrame()));
     }
-    if (auto When = section("when the proof is empty or cut short")) {
+    if (auto When = section("when the proof is empty or too short")) {
       schema::envelope Message;
       Message.mutable_hello_proof();
       CPPUNIT_ASSERT(Rejected(Server, encodeEnvelope(Message)));
--- a/src/yuccaplank/wire/peer_protocol.cpp
+++ b/src/yuccaplank/wire/peer_protocol.cpp
@@ -16,10 +16,11 @@
 using runtime::errc;
 
 constexpr std::string_view ProofLabel = "yuccaplank peer proof 1";
-// A hello holds two names, a nonce and two numbers; anything larger is not worth buffering for a stranger.
+// A hello consists of two names, a nonce and two numbers. Nothing larger is buffered before authentication.
 constexpr std::size_t MaxHandshakeBytes = 1024;
 constexpr std::size_t MaxLengthBytes = 5;
-// Consumed input is discarded from this size on, so that small envelopes do not each move the buffer.
+// Consumed input is discarded once it reaches this size, so that the buffer is not moved for each small
+// envelope.
 constexpr std::size_t MinCompactBytes = 64 * 1024;
 
 void appendField(std::string &Text, std::string_view Field) {
@@ -45,8 +46,8 @@
   return Role == peer_role::Client ? peer_role::Server : peer_role::Client;
 }
 
-// By default the library writes a line of plain text to standard error for every malformed string, as often
-// as a stranger sends one.
+// By default protobuf writes a line of plain text to standard error for each malformed string, so that any
+// client could flood the log.
 void redirectProtobufLog() {
   static const auto Previous = google::protobuf::SetLogHandler(
       [](google::protobuf::LogLevel, const char *, int, const std::string &Text) {
@@ -78,7 +79,7 @@
 }
 
 std::string peer_protocol::helloFrame() const {
-  // The proof covers exactly these bytes, so they are not serialized a second time.
+  // The proof covers exactly these bytes, so the hello must not be serialized a second time.
   std::string Frame;
   google::protobuf::io::StringOutputStream Stream(&Frame);
   google::protobuf::io::CodedOutputStream Coded(&Stream);
@@ -115,7 +116,7 @@
       return errc::MalformedDocument;
     }
     ConsumedBytes += Frame.value()->HeaderBytes + Frame.value()->BodyBytes;
-    // Envelopes of a kind that this version does not know are skipped, so that versions can be mixed.
+    // Envelopes of an unknown type are skipped, so that VMs of different versions can communicate.
     if (!InHandshake && Message.body_case() != schema::envelope::BODY_NOT_SET)
       return std::optional<schema::envelope>(std::move(Message));
   }
@@ -166,7 +167,8 @@
   return runtime::result<void>(BOOST_OUTCOME_V2_NAMESPACE::in_place_type<void>);
 }
 
-// The role keeps a proof from being reflected to its sender; the hellos bind nonces and incarnations.
+// The role prevents a proof from being reflected to its sender. The hellos bind the proof to the nonces and
+// the incarnations.
 std::string peer_protocol::computeProof(peer_role Prover) const {
   bool IsClient = Options.Role == peer_role::Client;
   std::string Text;
--- a/src/yuccaplank/wire/peer_protocol.hpp
+++ b/src/yuccaplank/wire/peer_protocol.hpp
@@ -1,4 +1,4 @@
-// Framing and handshake of a peer connection, independent of its transport.
+// Framing and handshake of a peer connection, independent of the underlying transport.
 #pragma once
 
 #include "peer.pb.h"
@@ -22,33 +22,33 @@
   std::string Key;
   schema::incarnation Self;
   std::string Domain;
-  /// Fresh random bytes for each connection, PeerNonceBytes of them.
+  /// PeerNonceBytes random bytes, newly generated for each connection.
   std::string Nonce;
   std::size_t MaxEnvelopeBytes = 0;
 };
 
-/// Length-delimited form of an envelope.
+/// Encodes an envelope with its length as prefix.
 std::string encodeEnvelope(const schema::envelope &Message);
 
-/// One end of a connection. Both ends send their hello at once, answer the other's hello with a proof, and
-/// count as authenticated when the other's proof is right. A proof is HMAC-SHA-256 with the shared key over
-/// the role of its sender and the hellos of client and server.
+/// One side of a connection. Both sides send their hello immediately and answer the other side's hello with a
+/// proof. A side is authenticated when the other side has verified its proof. A proof is an HMAC-SHA-256 with
+/// the shared key over the sender's role, the client's hello and the server's hello.
 class peer_protocol {
 public:
   explicit peer_protocol(peer_protocol_options Options);
 
-  /// Frame that opens the handshake.
+  /// Returns the encoded hello, which starts the handshake.
   [[nodiscard]] std::string helloFrame() const;
-  /// Appends received bytes.
+  /// Adds received bytes to the input.
   void feed(std::string_view Data);
-  /// Next envelope of the authenticated peer, or nothing when more bytes are needed. Handshake messages are
-  /// consumed here. After an error the connection has to be closed: errc::PeerRejected when authentication
-  /// failed, errc::BodyTooLarge, or errc::MalformedDocument.
+  /// Returns the next envelope of the authenticated peer, or nothing if more input is needed. Handshake
+  /// messages are processed here. After an error the connection must be closed: errc::PeerRejected if
+  /// authentication failed, errc::BodyTooLarge, or errc::MalformedDocument.
   runtime::result<std::optional<schema::envelope>> next();
-  /// Handshake bytes that have to be sent.
+  /// Returns and clears the handshake bytes that have to be sent.
   std::string takeHandshakeOutput();
   [[nodiscard]] bool authenticated() const { return Authenticated; }
-  /// Claims of the peer, once its hello has arrived; proven only when authenticated.
+  /// The peer's hello, once received; proved only if authenticated() is true.
   [[nodiscard]] const std::optional<schema::hello> &peer() const { return Peer; }
 
 private:
--- a/src/yuccaplank/wire/settings_reader.cpp
+++ b/src/yuccaplank/wire/settings_reader.cpp
@@ -21,7 +21,7 @@
   double Max;
 };
 
-// Highest values that still make sense; 0 takes the default everywhere.
+// Largest valid values. The smallest is always 0, which selects the default.
 constexpr auto Ranges = std::to_array<range_check>({
     {"placement.late_factor",
      [](const schema::daemon_settings &Settings) { return Settings.placement().late_factor(); }, 10},
--- a/src/yuccaplank/wire/settings_reader_test.cpp
+++ b/src/yuccaplank/wire/settings_reader_test.cpp
@@ -37,25 +37,25 @@
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{4294967295U}, Job.tasks());
     CPPUNIT_ASSERT_EQUAL(0.5, Job.cores());
   }
-  if (auto When = section("when numbers take 64 bits")) {
+  if (auto When = section("when a number needs 64 bits")) {
     schema::burn_window Window;
     CPPUNIT_ASSERT(wire::readDocument(R"({"good":18446744073709551615})", Window).empty());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{18446744073709551615U}, Window.good());
   }
-  if (auto When = section("when an object within is given or absent")) {
+  if (auto When = section("when a nested object is present or missing")) {
     schema::daemon_settings Settings;
     CPPUNIT_ASSERT(wire::readDocument(R"({"log":{}})", Settings).empty());
     CPPUNIT_ASSERT(Settings.has_log());
     CPPUNIT_ASSERT(!Settings.has_burn());
   }
-  if (auto When = section("when objects repeat")) {
+  if (auto When = section("when repeated fields hold objects")) {
     schema::fleet_report Report;
     std::string Text =
         R"({"vm":"a","vms":[{"vm":"b","in_contact":true},{"vm":"c"}],"queues":[{"queue":"q","waiting":2}]})";
     CPPUNIT_ASSERT(wire::readDocument(Text, Report).empty());
     CPPUNIT_ASSERT_EQUAL(Text, wire::writeDocument(Report));
   }
-  if (auto When = section("when the target holds older values")) {
+  if (auto When = section("when the target message already has values")) {
     schema::job_document Job;
     Job.set_host("old");
     CPPUNIT_ASSERT(wire::readDocument("{}", Job).empty());
@@ -63,8 +63,8 @@
   }
 });
 
-// Guards against faulty documents that are accepted, and against issues that point to the wrong place.
-const test_case Faults("settings reader: faults", [] {
+// Guards against invalid documents that are accepted, and against issues with a wrong path or line.
+const test_case Faults("settings reader: invalid documents", [] {
   struct expectation {
     std::string Text;
     std::string Issues;
@@ -101,7 +101,7 @@
     if (auto When = section(Expectation.Text))
       CPPUNIT_ASSERT_EQUAL(Expectation.Issues, readIssues<schema::daemon_settings>(Expectation.Text));
 
-  if (auto When = section("when an element of an array is faulty")) {
+  if (auto When = section("when an array element is invalid")) {
     CPPUNIT_ASSERT_EQUAL(
         std::string("line 3: ended[1].event: out_of_range, expected one of RUN_UNKNOWN, RUN_DONE, "
                     "RUN_FAILED, RUN_GONE, RUN_NOT_STARTED\n"
@@ -109,19 +109,19 @@
         readIssues<schema::adopt_request>(
             "{\"ended\": [{\"server\": \"a\"},\n{\"server\": \"b\",\n\"event\": \"GONE\"},\n7]}"));
   }
-  if (auto When = section("when a field that repeats is no array")) {
+  if (auto When = section("when a repeated field is not an array")) {
     CPPUNIT_ASSERT_EQUAL(std::string("line 1: vms: wrong_type, expected array\n"),
                          readIssues<schema::fleet_report>("{\"vms\": {\"vm\": \"a\"}}"));
   }
-  if (auto When = section("when the text ends early")) {
+  if (auto When = section("when the document is incomplete")) {
     schema::job_document Job;
     auto Issues = wire::readDocument("{\n\"host\": \"a\",\n", Job);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Issues.size());
     CPPUNIT_ASSERT(Issues[0].Code == errc::MalformedDocument);
-    // The last line of the text, not the one after its final newline.
+    // The issue is on the last line of the text, not on the empty line after its final newline.
     CPPUNIT_ASSERT_EQUAL(2, Issues[0].Line);
   }
-  if (auto When = section("when there are very many issues")) {
+  if (auto When = section("when there are more issues than the limit")) {
     std::string Text = "{";
     for (int Index = 0; Index < 5000; ++Index)
       Text += fmt::format(R"({}"x{}":1)", Index > 0 ? "," : "", Index);
@@ -136,18 +136,18 @@
   }
 });
 
-// Guards against daemons that start with settings under which they cannot work.
+// Guards against a daemon that starts with settings that it cannot work with.
 const test_case Settings("settings reader: daemon settings", [] {
   auto Issues = [](const std::string &Text) {
     schema::daemon_settings Settings;
     return wire::formatIssues(wire::readSettings(Text, Settings));
   };
-  if (auto When = section("when they are empty or complete")) {
+  if (auto When = section("when the settings are empty or valid")) {
     CPPUNIT_ASSERT_EQUAL(std::string(), Issues("{}"));
     CPPUNIT_ASSERT_EQUAL(std::string(), Issues(R"({"log":{"level":"warning"},"placement":{"late_factor":2.5},
       "callers":{"answer_retention_s":60},"burn":{"objective_percent":99.9}})"));
   }
-  if (auto When = section("when the level of the log is unknown"))
+  if (auto When = section("when the log level is unknown"))
     CPPUNIT_ASSERT_EQUAL(
         std::string("line 2: log.level: out_of_range, expected one of debug, info, warning, error\n"),
         Issues("{\"log\": {\n\"level\": \"loud\"}}"));
@@ -157,7 +157,7 @@
   if (auto When = section("when a factor is negative"))
     CPPUNIT_ASSERT_EQUAL(std::string("line 1: placement.late_factor: out_of_range, expected 0 to 10\n"),
                          Issues(R"({"placement": {"late_factor": -1}})"));
-  if (auto When = section("when an objective leaves no budget"))
+  if (auto When = section("when an objective of 100 percent leaves no error budget"))
     CPPUNIT_ASSERT_EQUAL(std::string("line 1: burn.objective_percent: out_of_range, expected 0 to 99.999\n"),
                          Issues(R"({"burn": {"objective_percent": 100}})"));
 });
--- a/src/yuccaplank/wire/url.hpp
+++ b/src/yuccaplank/wire/url.hpp
@@ -8,13 +8,14 @@
 
 namespace yuccaplank::wire {
 
-/// Percent-encodes everything but unreserved characters and those in AlsoPlain.
+/// Percent-encodes all characters except unreserved ones and those in SafeCharacters.
 std::string percentEncode(std::string_view Text, std::string_view SafeCharacters = {});
 
-/// Decodes "%XX"; malformed sequences stay as they are. PlusIsSpace also decodes '+', as in query strings.
+/// Decodes "%XX"; malformed sequences are left unchanged. With PlusIsSpace, '+' is decoded to a space, as in
+/// query strings.
 std::string percentDecode(std::string_view Text, bool PlusIsSpace);
 
-/// Decoded names and values of "a=1&b=2", in order; a name without '=' has an empty value.
+/// Parses "a=1&b=2" into decoded names and values, in order. A name without '=' has an empty value.
 std::vector<std::pair<std::string, std::string>> parseQuery(std::string_view Text);
 
 } // namespace yuccaplank::wire
