--- a/src/yuccaplank/standin/enum_names.hpp
+++ b/src/yuccaplank/standin/enum_names.hpp
@@ -1,4 +1,4 @@
-// Names of enumerators in control documents.
+// Conversion of names in control documents to enumerators.
 #pragma once
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 namespace yuccaplank::standin {
 
-/// The enumerator whose name stands at its index in Names; nothing for an unknown name.
+/// Returns the enumerator whose value is the index of Name in Names, or nothing if the name is unknown.
 template <typename Enum, std::size_t Count>
 std::optional<Enum> enumFromName(const std::array<std::string_view, Count> &Names, std::string_view Name) {
   const auto *Found = std::ranges::find(Names, Name);
--- a/src/yuccaplank/standin/program.hpp
+++ b/src/yuccaplank/standin/program.hpp
@@ -1,4 +1,4 @@
-// Command line and run loop shared by the stand-in programs.
+// Command line parsing and event loop of the stand-in programs.
 #pragma once
 
 #include "yuccaplank/runtime/loop.hpp"
@@ -9,9 +9,9 @@
 
 namespace yuccaplank::standin {
 
-/// Parses the command line and calls Run with the given options; returns the exit status. "--help" prints the
-/// options. An exception of the parser or of Run is a usage error: its text and the options are printed, and
-/// the status is 2.
+/// Parses the command line, calls Run with the parsed options, and returns the exit status. "--help" prints
+/// the options. An exception of the parser or of Run is treated as a usage error: its text and the options
+/// are printed, and the status is 2.
 int runProgram(int Count, char **Arguments, const boost::program_options::options_description &Description,
                const std::function<int(const boost::program_options::variables_map &Given)> &Run);
 
--- a/src/yuccaplank/standin/replies.hpp
+++ b/src/yuccaplank/standin/replies.hpp
@@ -1,4 +1,4 @@
-// Replies of the stand-ins' HTTP services.
+// Helpers for HTTP replies of the stand-in services.
 #pragma once
 
 #include "yuccaplank/wire/http_server.hpp"
@@ -9,10 +9,10 @@
 
 namespace yuccaplank::standin {
 
-/// Reply with a JSON body; invalid UTF-8 is replaced.
+/// Returns a reply with a JSON body; invalid UTF-8 is replaced.
 wire::http_reply jsonReply(int Status, const nlohmann::json &Body);
 
-/// Reply with the body {"reason": Reason}.
+/// Returns a reply with the body {"reason": Reason}.
 wire::http_reply reasonReply(int Status, std::string_view Reason);
 
 } // namespace yuccaplank::standin
--- a/src/yuccaplank/standin/row_store.cpp
+++ b/src/yuccaplank/standin/row_store.cpp
@@ -10,7 +10,7 @@
   return Found == Rows.end() || Found->second.Deleted ? 0 : Found->second.Version;
 }
 
-// All rows of one transaction get its version; the history keeps the latest change of each row.
+// Each changed row gets a new version, and the history keeps only the latest change of each row.
 void row_store::applyChange(stored_row Row) {
   stored_row &Stored = Rows[Row.Name];
   Changes.erase(Stored.Version);
--- a/src/yuccaplank/standin/row_store.hpp
+++ b/src/yuccaplank/standin/row_store.hpp
@@ -1,5 +1,5 @@
-// Rows of the platform's store as its pages describe them: tables, one counter of versions, a history that
-// can be lost. No I/O.
+// In-memory model of the platform's store, according to its documentation: tables, one version counter for
+// all rows, and a history that can be lost. It does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -30,7 +30,7 @@
 
 struct expected_row {
   row_name Name;
-  /// 0 when the row must not exist.
+  /// Expected version; 0 if the row must not exist.
   std::uint64_t Version = 0;
 };
 
@@ -48,14 +48,15 @@
 
 class row_store {
 public:
-  /// Version of the transaction; nothing, and no change, when a row has another version than expected.
+  /// Applies a transaction and returns its version. If a row does not have the expected version, nothing is
+  /// changed and nothing is returned.
   std::optional<std::uint64_t> commit(const row_transaction &Transaction);
-  /// Rows of a part with keys of at least From.
+  /// Returns the first page of the rows of a part, beginning with the key From.
   [[nodiscard]] row_page rows(std::string_view Table, std::string_view Part, std::string_view From) const;
-  /// Rows of a table changed after a version, in order, dropped ones among them; nothing when that history is
-  /// gone.
+  /// Returns the rows of a table that changed after a version, in the order of their changes and including
+  /// deleted rows; nothing if that part of the history was lost.
   [[nodiscard]] std::optional<row_page> changes(std::string_view Table, std::uint64_t After) const;
-  /// Current rows of a transaction's expectations.
+  /// Returns the current state of the rows for which a transaction has expectations.
   [[nodiscard]] std::vector<stored_row> currentRows(const std::vector<expected_row> &Expected) const;
   void forgetHistory();
   [[nodiscard]] std::uint64_t version() const { return Version; }
@@ -64,7 +65,7 @@
   [[nodiscard]] std::uint64_t currentVersion(const row_name &Name) const;
   void applyChange(stored_row Row);
 
-  // Dropped rows stay until the history is forgotten.
+  // Deleted rows are kept until the history is forgotten.
   std::map<row_name, stored_row> Rows;
   std::map<std::uint64_t, row_name> Changes;
   std::uint64_t Version = 0;
--- a/src/yuccaplank/standin/site.cpp
+++ b/src/yuccaplank/standin/site.cpp
@@ -24,9 +24,9 @@
 using wire::http_reply;
 using wire::http_request;
 
-// Heartbeats without a sign of a worker after which its entry is removed.
+// Number of missed heartbeats after which the entry of a worker is removed.
 constexpr std::uint32_t MaxMissedHeartbeats = 3;
-// Indexed by store_mode and worker_mode.
+// Names of the modes, indexed by store_mode and worker_mode.
 constexpr auto StoreModes = std::to_array<std::string_view>({"normal", "down", "reset", "silent"});
 constexpr auto WorkerModes = std::to_array<std::string_view>({"normal", "silent", "failing", "hanging"});
 
@@ -105,7 +105,7 @@
     return BOOST_OUTCOME_V2_NAMESPACE::success();
   }
 
-  // Checks.
+  // Checks of started runs.
 
   void onStart(const site_worker &Worker, const dispatch::run_key &Run) {
     ++Starts;
@@ -118,10 +118,10 @@
                                          Other.Worker->options().Id));
     if (Worker.Worker->usedCpu() > WorkerOptions.Cpu)
       Violations.push_back(
-          fmt::format("{} starts on {} beyond its room", dispatch::format(Run), WorkerOptions.Id));
+          fmt::format("{} starts on {} beyond its capacity", dispatch::format(Run), WorkerOptions.Id));
   }
 
-  // Entries of the workers.
+  // Entries of the workers in the store.
 
   void writeEntries() {
     for (site_worker &Worker : Workers)
@@ -129,7 +129,7 @@
     Loop.after(Options.HeartbeatInterval, Lifetime.guard([this] { writeEntries(); }));
   }
 
-  // While the store is away entries lapse too.
+  // Heartbeats are also missed while the store does not work normally.
   void writeEntries(site_worker &Worker) {
     const std::string &Id = Worker.Worker->options().Id;
     if (Worker.Worker->alive() && StoreFaults.Mode == store_mode::Normal) {
@@ -140,7 +140,7 @@
     }
   }
 
-  // Control.
+  // Control requests.
 
   void onControl(const http_request &Request) {
     using handler = http_reply (site_impl::*)(const http_request &);
@@ -241,7 +241,7 @@
     return issuesReply(Issues);
   }
 
-  // The workers that a document names; all of them when it names none.
+  // Returns the workers that a document names, or all workers if it names none.
   std::vector<site_worker *> selectWorkers(object_reader &Reader, std::vector<field_issue> &Issues) {
     std::vector<site_worker *> Result;
     const json &Names = Reader.child("names", false, true);
@@ -270,7 +270,7 @@
                            {"store_rejected", Store->counters().Rejected}});
   }
 
-  // What became of one job at the workers.
+  // Reports how many runs of a job the workers have started.
   http_reply getJob(const http_request &Request) {
     auto Id = platform::parseJobId(Request.query("id"));
     if (!Id)
--- a/src/yuccaplank/standin/store_service.cpp
+++ b/src/yuccaplank/standin/store_service.cpp
@@ -35,7 +35,7 @@
 constexpr double MinLateDelayMs = 1000;
 constexpr double MaxLateDelayMs = 8000;
 
-// Calls in the current second.
+// Limits the number of calls in each second of the clock.
 class rate_limit {
 public:
   explicit rate_limit(std::uint32_t PerSecond) : PerSecond(PerSecond) {}
@@ -136,7 +136,7 @@
   };
   static const std::array<route, 3> Routes;
 
-  // A feed call that waits for a change.
+  // A feed call that waits for a change, at most until Deadline.
   struct waiting_feed {
     wire::request_token Token = 0;
     std::string Table;
@@ -193,7 +193,7 @@
     execute(Request.Token, Transaction);
   }
 
-  // The operators' and the servers' tables are theirs.
+  // Returns whether a transaction writes a table that only operators and backend servers may write.
   static bool writesPlatformTable(const row_transaction &Transaction) {
     auto IsPlatformTable = [](const row_name &Name) { return Name.Table == "op" || Name.Table == "servers"; };
     return std::ranges::any_of(Transaction.Puts,
--- a/src/yuccaplank/standin/store_service.hpp
+++ b/src/yuccaplank/standin/store_service.hpp
@@ -1,4 +1,4 @@
-// The platform's store over HTTP, with its limits and its faults.
+// HTTP service of the platform's store, with rate limits and injected faults.
 #pragma once
 
 #include "row_store.hpp"
@@ -13,27 +13,27 @@
 
 enum class store_mode : std::uint8_t {
   Normal,
-  /// Every call gets 503; nothing is done.
+  /// Each call is answered with status 503 and not executed.
   Down,
-  /// Connections are reset.
+  /// The connection of each call is closed without a reply.
   Reset,
-  /// Calls get no answer; nothing is done.
+  /// Calls are neither executed nor answered.
   Silent,
 };
 
 struct store_faults {
   store_mode Mode = store_mode::Normal;
   runtime::duration Delay{};
-  /// Share of writes that are carried out and not answered.
+  /// Share of writes that are executed but not answered.
   double LostAnswers = 0;
-  /// Share of writes that are not answered and carried out seconds later, if their condition still holds.
+  /// Share of writes that are not answered and are executed seconds later, if their expectations still hold.
   double LateWrites = 0;
 };
 
 struct store_options {
-  /// "ip:port"; port 0 takes a free port.
+  /// Listening address in the form "ip:port"; port 0 selects a free port.
   std::string Listen;
-  /// Calls of all clients together.
+  /// Rate limits for the calls of all clients together.
   std::uint32_t ReadsPerSecond = 2000;
   std::uint32_t WritesPerSecond = 600;
   runtime::duration TransactionDelay = std::chrono::milliseconds(8);
@@ -43,7 +43,7 @@
 struct store_counters {
   std::uint64_t Reads = 0;
   std::uint64_t Writes = 0;
-  /// Calls beyond the rates, answered with 429.
+  /// Calls that exceeded a rate limit and were answered with status 429.
   std::uint64_t Rejected = 0;
 };
 
@@ -51,7 +51,7 @@
 public:
   virtual ~store_service() = default;
   [[nodiscard]] virtual std::uint16_t port() const = 0;
-  /// Writes as the platform itself: no rates, no faults.
+  /// Writes a row as the platform itself does, without rate limits and faults.
   virtual void put(const std::string &Table, const std::string &Key, const std::string &Value) = 0;
   virtual void remove(const std::string &Table, const std::string &Key) = 0;
   virtual void forgetHistory() = 0;
@@ -60,7 +60,7 @@
   [[nodiscard]] virtual const store_counters &counters() const = 0;
 };
 
-/// Errors are those of wire::makeHttpServer.
+/// Starts the service. Errors are those of wire::makeHttpServer.
 runtime::result<std::unique_ptr<store_service>> makeStoreService(runtime::loop &Loop,
                                                                  const store_options &Options);
 
--- a/src/yuccaplank/standin/task_server.cpp
+++ b/src/yuccaplank/standin/task_server.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-// Ends that one reply holds at most.
+// Limit for the number of ends in one reply.
 constexpr std::size_t MaxListedEnds = 500;
 
 } // namespace
@@ -110,7 +110,8 @@
 }
 
 void task_server::advance(time_point Now) {
-  // In the order of time, so that what would have been done before the lease ended is done.
+  // Events are processed in chronological order, so that a run that completes before the lease expires ends
+  // as done.
   for (auto Due = nextEventTime(); Due && *Due <= Now; Due = nextEventTime()) {
     for (auto Task = Runs.begin(); Task != Runs.end();) {
       auto Current = Task++;
--- a/src/yuccaplank/standin/task_server.hpp
+++ b/src/yuccaplank/standin/task_server.hpp
@@ -1,5 +1,5 @@
-// A backend server of the users' platform as its pages describe it: leases, fencing tokens, runs and their
-// ends. No I/O.
+// In-memory model of a backend server, according to the platform's documentation: leases, fencing tokens, and
+// runs with their ends. It does no I/O.
 #pragma once
 
 #include "yuccaplank/dispatch/server_orders.hpp"
@@ -13,45 +13,45 @@
 
 namespace yuccaplank::standin {
 
-/// What a run takes and how long it works.
+/// The resources and the duration of a run.
 struct run_work {
   std::uint32_t Cpu = 0;
   runtime::duration Duration{};
   bool Fails = false;
 };
 
-/// The specification that tells a stand-in what a run does: "cpu milliseconds".
+/// Encodes work as a task specification for stand-in servers: "CPU MILLISECONDS".
 std::string encodeWork(const run_work &Work);
-/// No work for a specification of another form.
+/// Decodes a task specification; returns empty work if it has another form.
 run_work decodeWork(const std::string &Specification);
 
 struct task_server_options {
   runtime::duration MaxLease = std::chrono::milliseconds(1000);
-  /// Time from a stop order to the end.
+  /// Delay between a stop order and the end of the run.
   runtime::duration StopDelay = std::chrono::milliseconds(20);
-  /// Speed of the server's clock; 0.98 is 2 % slow.
+  /// Rate of the server's clock relative to real time; 0.98 is 2 % slow.
   double ClockRate = 1;
 };
 
-/// One incarnation of a server. Time comes with each call and never goes back.
+/// One incarnation of a server. The caller passes the current time with each call; it must not decrease.
 class task_server {
 public:
   task_server(std::int64_t IncarnationStartMs, task_server_options Options)
       : IncarnationStartMs(IncarnationStartMs), Options(Options) {}
 
-  /// Carries out a start; Accepted also when the run is already there.
+  /// Executes a start order. The outcome is also Accepted if the run is already running.
   dispatch::order_outcome start(runtime::time_point Now, const dispatch::start_order &Order,
                                 const run_work &Work);
   dispatch::order_outcome stop(runtime::time_point Now, const dispatch::run_key &Run,
                                std::uint64_t FencingToken);
-  /// Renews the lease and tells what runs; Accepted or Fenced.
+  /// Renews the lease and lists the runs. The outcome is Accepted or Fenced.
   dispatch::hold_reply hold(runtime::time_point Now, const dispatch::hold_order &Order);
 
-  /// Lets the time pass: ends runs that are done, stopped or without a lease.
+  /// Advances to the current time: ends the runs that are done, stopped, or whose lease has expired.
   void advance(runtime::time_point Now);
-  /// When advance() changes something next, if nothing is ordered; nothing when nothing runs.
+  /// Returns when advance() will next end a run, unless further orders arrive; nothing if no run is active.
   [[nodiscard]] std::optional<runtime::time_point> nextEventTime() const;
-  /// Whether there are ends that have not been observed.
+  /// Returns whether there are ends of runs that no hold has confirmed as observed.
   [[nodiscard]] bool hasUnobservedEnds() const { return !Ends.empty(); }
   [[nodiscard]] std::int64_t clockMs(runtime::time_point Now) const;
   [[nodiscard]] std::uint32_t usedCpu() const;
@@ -66,6 +66,7 @@
     std::optional<runtime::time_point> StoppedAt;
   };
 
+  // Returns true if a higher fencing token was seen before; otherwise records the token.
   bool rejectStaleToken(std::uint64_t FencingToken);
   void extendLease(runtime::time_point Now, std::int64_t LeaseEndMs);
   void endRun(std::map<dispatch::task_key, running_task>::iterator Task, dispatch::run_end End);
@@ -76,7 +77,7 @@
   std::uint64_t HighestToken = 0;
   runtime::time_point LeaseEnd{};
   std::map<dispatch::task_key, running_task> Runs;
-  // Highest run of each task that has ended or was stopped here.
+  // Highest number of an ended or stopped run on this server, by task.
   std::map<dispatch::task_key, std::uint32_t> HighestEndedRuns;
   std::deque<dispatch::listed_end> Ends;
   std::uint64_t LastEndNumber = 0;
--- a/src/yuccaplank/standin/worker.cpp
+++ b/src/yuccaplank/standin/worker.cpp
@@ -32,7 +32,7 @@
 constexpr double MinLateDelayMs = 1000;
 constexpr double MaxLateDelayMs = 8000;
 
-// Indexed by run_end.
+// Names of the ends of runs, indexed by run_end.
 constexpr auto EndNames =
     std::to_array<std::string_view>({"done", "failed", "stopped", "lapsed", "broken", "alone"});
 
@@ -49,7 +49,7 @@
   }
 }
 
-// Orders as they arrive; Task is not set when the body cannot be read.
+// Content of a start or stop order. Specification and LeaseEndMs are only set for start orders.
 struct order_body {
   dispatch::run_key Run;
   std::string Specification;
@@ -231,7 +231,7 @@
     reply(Token, jsonReply(Outcome == order_outcome::Accepted ? Ok : Conflict, Body));
   }
 
-  // Also by a new life at the address.
+  // Executes an order seconds after it arrived, even if a new incarnation has started at the address since.
   void executeLate(std::function<order_outcome()> Order) {
     Loop.after(runtime::fromMs(MinLateDelayMs + Random.uniform() * (MaxLateDelayMs - MinLateDelayMs)),
                Lifetime.guard([this, Order = std::move(Order)] {
@@ -287,7 +287,7 @@
     reply(Token, jsonReply(Ok, Body));
   }
 
-  // Looks again when the next run ends.
+  // Schedules a timer for the next end of a run.
   void scheduleNextEvent() {
     Loop.cancel(std::exchange(EventTimer, 0));
     auto Next = TaskServer->nextEventTime();
@@ -307,7 +307,7 @@
       Server->reply(Token, std::move(Reply));
   }
 
-  // Not carried out in another life.
+  // Runs a function after a delay, unless the incarnation has ended by then.
   runtime::timer_id runAfter(runtime::duration Delay, std::function<void()> Function) {
     return Loop.after(Delay, Incarnation.guard(std::move(Function)));
   }
@@ -320,7 +320,7 @@
   std::unique_ptr<task_server> TaskServer;
   std::unique_ptr<wire::http_server> Server;
   std::vector<waiting_hold> Holds;
-  // Ends with each crash.
+  // Lifetime of the current incarnation, ended by a crash.
   runtime::lifetime Incarnation;
   runtime::timer_id EventTimer = 0;
   runtime::lifetime Lifetime;
--- a/src/yuccaplank/standin/worker.hpp
+++ b/src/yuccaplank/standin/worker.hpp
@@ -1,4 +1,4 @@
-// One backend server of the users' platform over HTTP, with its faults.
+// Worker: HTTP service of a stand-in backend server, with injected faults.
 #pragma once
 
 #include "yuccaplank/runtime/error.hpp"
@@ -15,19 +15,19 @@
 
 enum class worker_mode : std::uint8_t {
   Normal,
-  /// Calls get no answer; what runs goes on.
+  /// Calls are neither executed nor answered; active runs continue.
   Silent,
-  /// Every run fails.
+  /// All runs fail.
   Failing,
-  /// Runs never end by themselves.
+  /// Runs do not complete by themselves.
   Hanging,
 };
 
 struct worker_faults {
   worker_mode Mode = worker_mode::Normal;
-  /// Share of orders that are carried out and not answered.
+  /// Share of orders that are executed but not answered.
   double LostAnswers = 0;
-  /// Share of orders that are not answered and carried out seconds later.
+  /// Share of orders that are not answered and are executed seconds later.
   double LateOrders = 0;
   /// Factor on all run times.
   double Slowdown = 1;
@@ -35,7 +35,7 @@
 
 struct worker_options {
   std::string Id;
-  /// "ip:port"; port 0 takes a free port.
+  /// Listening address in the form "ip:port"; port 0 selects a free port.
   std::string Listen;
   std::string Pool;
   std::string Domain;
@@ -52,22 +52,22 @@
 public:
   virtual ~worker() = default;
   [[nodiscard]] virtual const worker_options &options() const = 0;
-  /// Address of the latest life.
+  /// Address of the latest incarnation.
   [[nodiscard]] virtual std::string address() const = 0;
-  /// What the worker writes about itself into the store.
+  /// Returns the entry that the worker writes into the store about itself.
   [[nodiscard]] virtual std::string makeEntry(std::uint64_t Sequence, bool Draining) const = 0;
   [[nodiscard]] virtual bool alive() const = 0;
-  /// Ends without a word: connections close and everything is forgotten.
+  /// Simulates a crash: all connections close and all state is lost.
   virtual void crash() = 0;
-  /// A new life at the same address. Errors are those of wire::makeHttpServer.
+  /// Starts a new incarnation at the same address. Errors are those of wire::makeHttpServer.
   virtual runtime::result<void> start() = 0;
   virtual void setFaults(worker_faults Faults) = 0;
-  /// Whether a run of the task is at work now.
+  /// Returns whether a run of the task is active.
   [[nodiscard]] virtual bool isRunning(const dispatch::task_key &Task) = 0;
   [[nodiscard]] virtual std::uint32_t usedCpu() = 0;
 };
 
-/// OnStart runs after each start that was carried out. Starts at once.
+/// Creates and starts a worker. OnStart is called after each executed start order.
 runtime::result<std::unique_ptr<worker>> makeWorker(runtime::loop &Loop, runtime::random &Random,
                                                     worker_options Options,
                                                     std::function<void(const dispatch::run_key &)> OnStart);
--- a/src/yuccaplank/standin/yuccaplank_standin_site_main.cpp
+++ b/src/yuccaplank/standin/yuccaplank_standin_site_main.cpp
@@ -1,4 +1,4 @@
-// Stand-in for the users' platform, see site.hpp.
+// Stand-in for the users' platform; see site.hpp.
 #include "site.hpp"
 #include "yuccaplank/runtime/descriptor_limit.hpp"
 #include "yuccaplank/runtime/log.hpp"
@@ -13,7 +13,7 @@
 using namespace yuccaplank;
 
 int runSite(const standin::site_options &Options) {
-  // Each worker needs a few descriptors besides its connections.
+  // Each worker needs several file descriptors in addition to those of its connections.
   runtime::raiseDescriptorLimit();
   auto Loop = runtime::makeLoop();
   auto Site = standin::makeSite(*Loop, Options);
@@ -34,19 +34,20 @@
   standin::site_options Options;
   std::string Domains = "d1";
   bool Equal = false;
-  po::options_description Description(
-      "yuccaplank-standin-site: the users' platform for tests, with its store and backend servers");
+  po::options_description Description("yuccaplank-standin-site: stand-in for the users' platform, with its "
+                                      "store and backend servers, for tests");
   auto Add = Description.add_options();
-  Add("help", "show this text");
-  Add("ip", po::value(&Options.Ip)->default_value(Options.Ip), "IP number of all listeners");
+  Add("help", "print this help");
+  Add("ip", po::value(&Options.Ip)->default_value(Options.Ip), "IP address of all listeners");
   Add("store-port", po::value(&Options.StorePort)->default_value(9000), "port of the store");
   Add("control-port", po::value(&Options.ControlPort)->default_value(9001), "port of the control listener");
   Add("first-worker-port", po::value(&Options.FirstWorkerPort)->default_value(9100),
       "port of the first backend server");
   Add("workers", po::value(&Options.Workers)->default_value(Options.Workers), "number of backend servers");
-  Add("domains", po::value(&Domains)->default_value(Domains), "failure domains, given in turn");
-  Add("equal", po::bool_switch(&Equal), "servers of equal speed");
-  Add("seed", po::value(&Options.Seed)->default_value(Options.Seed), "seed of clock rates and faults");
+  Add("domains", po::value(&Domains)->default_value(Domains),
+      "comma-separated failure domains, assigned to the backend servers in rotation");
+  Add("equal", po::bool_switch(&Equal), "give all backend servers the same speed");
+  Add("seed", po::value(&Options.Seed)->default_value(Options.Seed), "seed for clock rates and faults");
   return standin::runProgram(Count, Arguments, Description, [&](const po::variables_map &) {
     if (Equal)
       Options.Slowness = {1};
