--- a/src/yuccaplank/load/load_run.cpp
+++ b/src/yuccaplank/load/load_run.cpp
@@ -18,10 +18,11 @@
 using runtime::fromMs;
 using runtime::time_point;
 
-// Callers send a job again this long after a lost answer.
+// Delay after which a caller submits a job again if the answer was lost or no entry VM could be reached.
 constexpr double ResendDelayMs = 1300;
 constexpr double UnreachableRetryDelayMs = 100;
-// Callers wait a little longer than they say, and give a job up some seconds after its deadline.
+// A call times out some time after the deadline that the caller declared, and a caller gives up a job some
+// seconds after the job's deadline.
 constexpr double TimeoutSlackMs = 1000;
 constexpr double GiveUpDelayMs = 4000;
 constexpr double Stretch = 1.6;
@@ -37,7 +38,7 @@
   double WorkMs = 0;
   time_point FirstSent;
   time_point GiveUpAt;
-  // Attempts that got neither a refusal nor an answer.
+  // Number of attempts that may have reached an entry VM.
   std::uint32_t OpenAttempts = 0;
   wire::call_id Call = 0;
 };
@@ -77,7 +78,7 @@
   }
   const std::string &randomEntry() { return Options.Entries[Random.next() % Options.Entries.size()]; }
 
-  // Arrivals.
+  // Arrival of jobs.
 
   void scheduleArrival() {
     double GapMs = -std::log(1 - Random.uniform()) * 1000 / Options.Rate;
@@ -92,7 +93,7 @@
   void submitNewJob() {
     std::uint64_t Id = Random.next();
     offered_job &Offered = Jobs[Id];
-    Offered.WorkMs = Options.MeanTaskMs * logNormal(Options.TaskSpread);
+    Offered.WorkMs = Options.MedianTaskMs * logNormal(Options.TaskSpread);
     platform::caller_job &Job = Offered.Job;
     Job.Id = Id;
     Job.TaskCount = Options.MinTasks +
@@ -150,8 +151,8 @@
     if (End == job_end::Completed && Offered.FirstSent - StartedAt >= fromMs(Options.WarmupSeconds * 1000))
       Result.addCompleted(TookMs, Offered.WorkMs, Stretch * Offered.WorkMs + ObjectiveMs);
     if (Answer.Outcome == caller_outcome::Pending)
-      Result.addViolation(fmt::format("job {:016x} was answered before its end", Id));
-    // Only this attempt can have reached an entry VM, so that the job has not run at all.
+      Result.addViolation(fmt::format("job {:016x} was answered before it ended", Id));
+    // Only this attempt can have reached an entry VM, so the job must not have run.
     if (End == job_end::Refused && Offered.OpenAttempts == 1)
       RefusedJobs.push_back(Id);
     Jobs.erase(Id);
@@ -227,7 +228,7 @@
         if (!Job.is_object() || !Job.contains("starts") || !Job["starts"].is_number_integer())
           ++CheckErrors;
         else if (Job["starts"].get<std::int64_t>() > 0)
-          Result.addViolation(fmt::format("job {:016x} was refused as not run although it ran", Id));
+          Result.addViolation(fmt::format("job {:016x} was refused although tasks of it were started", Id));
       });
     }
   }
--- a/src/yuccaplank/load/load_run.hpp
+++ b/src/yuccaplank/load/load_run.hpp
@@ -1,4 +1,4 @@
-// Offers jobs as callers do, and checks every answer.
+// Submits jobs as callers do and checks each answer.
 #pragma once
 
 #include "yuccaplank/load/measurements.hpp"
@@ -12,22 +12,24 @@
 
 namespace yuccaplank::load {
 
-/// One run. Checks that every job gets one answer, that a refused one has not run, and, at the stand-in site,
-/// that no task ran twice at a time and no server got more than its room.
+/// One run of the load tool. It checks that no job is answered before its end and, if a stand-in site is
+/// given, that no refused job has run, no task had two concurrent runs, and no server was given more than its
+/// capacity.
 class load_run {
 public:
   virtual ~load_run() = default;
-  /// OnDone runs when all jobs have ended and the final checks are done.
+  /// Starts the run. OnDone is called when all jobs have ended and the final checks are complete.
   virtual void start(std::function<void()> OnDone) = 0;
-  /// Offers no further jobs.
+  /// Stops submitting new jobs.
   virtual void stopArrivals() = 0;
-  /// Complete once OnDone has run.
+  /// Returns the measurements, which are complete once OnDone has been called.
   virtual measurements &result() = 0;
-  /// 0, 3 on any violation, or 1 when the checks are incomplete or no job was offered.
+  /// Returns 3 if there was a violation, 1 if a check failed to complete or no job was submitted, otherwise
+  /// 0.
   [[nodiscard]] virtual int exitStatus() const = 0;
 };
 
-/// Print receives the timeline.
+/// Creates a run. Print receives the lines of the timeline.
 std::unique_ptr<load_run> makeLoadRun(runtime::executor &Executor, wire::http_client &Client,
                                       const load_options &Options,
                                       std::function<void(std::string_view)> Print);
--- a/src/yuccaplank/load/load_run_test.cpp
+++ b/src/yuccaplank/load/load_run_test.cpp
@@ -46,35 +46,35 @@
   return replyWith(200, R"({"starts":)" + std::to_string(Starts) + "}");
 }
 
-// Guards against a violation that the load tool does not see, which would make every run pass.
-const test_case Checks("load: checks of promises", [] {
-  if (auto Given = section("given answers as promised")) {
+// Guards against violations that the load tool does not detect: every run would pass.
+const test_case Checks("load: detection of violations", [] {
+  if (auto Given = section("given valid answers")) {
     offered_load Load([](const wire::http_call &Call) {
       return Call.Address == "127.0.0.1:9" ? siteReply(Call, 0) : replyWith(200, R"({"state":"completed"})");
     });
     CPPUNIT_ASSERT_EQUAL(0, Load.run());
     CPPUNIT_ASSERT(Load.Report.find(R"("breaches","value":0)") != std::string::npos);
   }
-  if (auto Given = section("given refused jobs that ran")) {
+  if (auto Given = section("given refused jobs that have run")) {
     offered_load Load([](const wire::http_call &Call) {
       return Call.Address == "127.0.0.1:9" ? siteReply(Call, 1) : replyWith(503, "{}");
     });
     CPPUNIT_ASSERT_EQUAL(3, Load.run());
   }
-  if (auto Given = section("given two runs of a task at the site")) {
+  if (auto Given = section("given a violation that the site reports")) {
     offered_load Load([](const wire::http_call &Call) {
       return Call.Address == "127.0.0.1:9" ? replyWith(200, R"({"breaches":["twice"]})")
                                            : replyWith(200, R"({"state":"completed"})");
     });
     CPPUNIT_ASSERT_EQUAL(3, Load.run());
   }
-  if (auto Given = section("given an answer before the end")) {
+  if (auto Given = section("given an answer before the end of the job")) {
     offered_load Load([](const wire::http_call &Call) {
       return Call.Address == "127.0.0.1:9" ? siteReply(Call, 0) : replyWith(200, R"({"state":"queued"})");
     });
     CPPUNIT_ASSERT_EQUAL(3, Load.run());
   }
-  if (auto Given = section("given a site that cannot be asked")) {
+  if (auto Given = section("given a site that cannot be reached")) {
     offered_load Load([](const wire::http_call &Call) {
       return Call.Address == "127.0.0.1:9" ? testing::refusedConnection()
                                            : replyWith(200, R"({"state":"completed"})");
@@ -83,8 +83,9 @@
   }
 });
 
-// Guards against a job that is sent again under another id, or too early for the first run to have ended.
-const test_case Resend("load: lost answers", [] {
+// Guards against callers that do not submit a job again after a lost answer, or that submit it under another
+// id.
+const test_case Resend("load: resubmission after lost answers", [] {
   offered_load Load([](const wire::http_call &Call) {
     return Call.Address == "127.0.0.1:9" ? siteReply(Call, 0) : testing::lostConnection();
   });
@@ -96,7 +97,7 @@
   CPPUNIT_ASSERT(Load.Client.Calls.size() > 2 * Ids.size());
 });
 
-// Guards against wrong command lines that are run.
+// Guards against invalid command lines that are accepted.
 const test_case Options("load: options", [] {
   auto Wrong = [](const std::vector<std::string> &Arguments) {
     return std::holds_alternative<load_usage_error>(parseLoadOptions(Arguments, 1));
--- a/src/yuccaplank/load/measurements.cpp
+++ b/src/yuccaplank/load/measurements.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::size_t MaxKeptViolations = 20;
-// Indexed by job_end.
+// Names of the ends of jobs, indexed by job_end.
 constexpr std::array<std::string_view, JobEndCount> EndNames = {"completed", "failed",    "refused",
                                                                 "not_taken", "no_answer", "left"};
 constexpr double ReportedPercents[] = {50, 90, 99};
--- a/src/yuccaplank/load/measurements.hpp
+++ b/src/yuccaplank/load/measurements.hpp
@@ -1,4 +1,4 @@
-// Figures of a run: counts, percentiles over all samples, and a timeline by seconds.
+// Measurements of a load run: counts, percentiles over all samples, and a timeline with one line per second.
 #pragma once
 
 #include "yuccaplank/platform/caller_client.hpp"
@@ -12,10 +12,10 @@
 
 namespace yuccaplank::load {
 
-/// Nearest-rank percentile; 0 without samples. Sorts the samples.
+/// Returns the nearest-rank percentile, or 0 without samples. Sorts the samples.
 double percentile(std::vector<double> &Samples, double Percent);
 
-/// How a job ended for its caller.
+/// End of a job, from the caller's point of view. Left: the caller disconnected before the answer.
 enum class job_end : std::uint8_t { Completed, Failed, Refused, NotTaken, NoAnswer, Left };
 inline constexpr std::size_t JobEndCount = 6;
 job_end toJobEnd(platform::caller_outcome Outcome);
@@ -23,15 +23,16 @@
 class measurements {
 public:
   void addEnd(job_end End) { ++Ends.at(static_cast<std::size_t>(End)); }
-  /// Times of a completed job, in milliseconds. Objective: within which it should be answered.
+  /// Adds the response time of a completed job, the duration of its work, and the objective for its response
+  /// time.
   void addCompleted(double ResponseMs, double WorkMs, double ObjectiveMs);
   void addAttempt() { ++Attempts; }
-  /// A promise was broken; the first ones are kept.
+  /// Records a violation of a guarantee for callers. Only the first violations are kept.
   void addViolation(std::string Text);
   [[nodiscard]] const std::vector<std::string> &violations() const { return Violations; }
   [[nodiscard]] std::uint64_t attempts() const { return Attempts; }
 
-  /// JSON lines {"name":…,"value":…,"unit":…}.
+  /// Returns all measurements as lines of the form that formatFigure() returns.
   std::string report();
 
 private:
@@ -43,14 +44,14 @@
   std::vector<std::string> Violations;
 };
 
-/// One JSON line: {"name":…,"value":…,"unit":…}.
+/// Returns one JSON line: {"name":…,"value":…,"unit":…}.
 std::string formatFigure(std::string_view Name, double Value, std::string_view Unit);
 
-/// Ends of jobs by the second in which they came.
+/// Ends of jobs, grouped by second.
 class timeline {
 public:
   void add(std::int64_t Second, job_end End, double ResponseMs);
-  /// Lines of all seconds before Second, which are then dropped.
+  /// Returns one line for each second before Second and discards their data.
   std::string takeLinesUntil(std::int64_t Second);
 
 private:
--- a/src/yuccaplank/load/options.cpp
+++ b/src/yuccaplank/load/options.cpp
@@ -12,7 +12,7 @@
 
 namespace po = boost::program_options;
 
-// Options whose text is interpreted after parsing.
+// Options that need further parsing.
 struct raw_options {
   std::string Entries;
   std::string Queue = "jobs.example/jobs/";
@@ -20,29 +20,32 @@
 };
 
 po::options_description describe(load_options &Options, raw_options &Raw) {
-  po::options_description Description("yuccaplank-load: offers jobs to entry VMs and checks every answer");
+  po::options_description Description("yuccaplank-load: submits jobs to entry VMs and checks each answer");
   auto Add = Description.add_options();
   auto Number = [](double &Value) {
     return po::value(&Value)->default_value(Value, fmt::format("{:g}", Value));
   };
   Add("help", "print this help");
-  Add("entries", po::value(&Raw.Entries), "ip:port[,ip:port...] of entry VMs");
-  Add("queue", po::value(&Raw.Queue)->default_value(Raw.Queue), "HOST/PATH of the queue");
+  Add("entries", po::value(&Raw.Entries), "addresses of entry VMs, ip:port[,ip:port...]");
+  Add("queue", po::value(&Raw.Queue)->default_value(Raw.Queue), "queue of the jobs, HOST/PATH");
   Add("rate", Number(Options.Rate), "jobs/s");
-  Add("seconds", Number(Options.Seconds), "time in which jobs are offered");
-  Add("warmup", Number(Options.WarmupSeconds), "seconds left out of times");
-  Add("tasks", po::value(&Raw.Tasks)->default_value(Raw.Tasks), "MIN-MAX tasks of a job");
-  Add("cores", Number(Options.Cores), "cores of a task");
-  Add("task-ms", Number(Options.MeanTaskMs), "mean run time of a task");
-  Add("task-spread", Number(Options.TaskSpread), "log-normal spread of run times; 0 makes them equal");
-  Add("declared-spread", Number(Options.DeclaredSpread), "log-normal spread of declared times");
+  Add("seconds", Number(Options.Seconds), "duration of the load in seconds");
+  Add("warmup", Number(Options.WarmupSeconds), "initial seconds that are excluded from latency figures");
+  Add("tasks", po::value(&Raw.Tasks)->default_value(Raw.Tasks), "number of tasks per job, MIN-MAX");
+  Add("cores", Number(Options.Cores), "cores per task");
+  Add("task-ms", Number(Options.MedianTaskMs), "median run time of a task in milliseconds");
+  Add("task-spread", Number(Options.TaskSpread), "log-normal spread of run times; 0 makes all equal");
+  Add("declared-spread", Number(Options.DeclaredSpread),
+      "log-normal spread of declared run times around the actual ones");
   Add("deadline-ms", po::value(&Options.DeadlineMs)->default_value(Options.DeadlineMs),
-      "how long callers wait");
-  Add("leave-percent", Number(Options.LeavePercent), "callers that leave before their answer");
-  Add("cancel-percent", Number(Options.CancelPercent), "jobs cancelled through another entry VM");
-  Add("check", po::value(&Options.CheckAddress), "ip:port of the stand-in site's control listener");
-  Add("timeline", po::bool_switch(&Options.Timeline), "print a line each second");
-  Add("seed", po::value(&Options.Seed)->default_value(Options.Seed), "seed of the jobs");
+      "time in milliseconds that callers wait for an answer");
+  Add("leave-percent", Number(Options.LeavePercent),
+      "percentage of callers that disconnect before the answer");
+  Add("cancel-percent", Number(Options.CancelPercent),
+      "percentage of jobs that are cancelled through a random entry VM");
+  Add("check", po::value(&Options.CheckAddress), "address of the stand-in site's control listener, ip:port");
+  Add("timeline", po::bool_switch(&Options.Timeline), "print one line per second");
+  Add("seed", po::value(&Options.Seed)->default_value(Options.Seed), "seed for the jobs");
   return Description;
 }
 
@@ -56,7 +59,7 @@
          Options.MinTasks <= Options.MaxTasks;
 }
 
-// A sentence, or nothing.
+// Returns an error message, or an empty string if the options are valid.
 std::string validate(const load_options &Options) {
   if (Options.Entries.empty())
     return "--entries is missing.";
@@ -67,9 +70,9 @@
   for (double Percent : {Options.LeavePercent, Options.CancelPercent})
     if (!(Percent >= 0 && Percent <= 100))
       return "--leave-percent and --cancel-percent must be 0 to 100.";
-  if (!(Options.MeanTaskMs >= 0 && Options.TaskSpread >= 0 && Options.DeclaredSpread >= 0 &&
+  if (!(Options.MedianTaskMs >= 0 && Options.TaskSpread >= 0 && Options.DeclaredSpread >= 0 &&
         Options.Cores > 0))
-    return "--task-ms and the spreads must not be below 0, and --cores must be above.";
+    return "--task-ms and the spreads must be at least 0, and --cores must be above 0.";
   return {};
 }
 
--- a/src/yuccaplank/load/options.hpp
+++ b/src/yuccaplank/load/options.hpp
@@ -11,44 +11,44 @@
 namespace yuccaplank::load {
 
 struct load_options {
-  /// "ip:port" of entry VMs.
+  /// Addresses of entry VMs, in the form "ip:port".
   std::vector<std::string> Entries;
   std::string Host;
   std::string Path;
-  /// Jobs offered a second, as a Poisson process.
+  /// Mean number of submitted jobs per second; arrivals are a Poisson process.
   double Rate = 50;
   double Seconds = 10;
-  /// Jobs of the first seconds do not count for times.
+  /// Jobs that are submitted in this initial period are excluded from latency figures.
   double WarmupSeconds = 0;
   std::uint32_t MinTasks = 1;
   std::uint32_t MaxTasks = 4;
   double Cores = 27;
-  /// Mean run time of a task on a server of ordinary speed; single ones are log-normal around it.
-  double MeanTaskMs = 60;
+  /// Median run time of a task on a server of normal speed; the run times have a log-normal distribution.
+  double MedianTaskMs = 60;
   double TaskSpread = 0.4;
-  /// Spread of the declared run time around the real one.
+  /// Log-normal spread of the declared run time around the actual one.
   double DeclaredSpread = 0.4;
   std::uint32_t DeadlineMs = 2000;
-  /// Share of the callers that leave before their answer.
+  /// Percentage of callers that disconnect before the answer.
   double LeavePercent = 0;
-  /// Share of the jobs that are cancelled by a call to another entry VM.
+  /// Percentage of jobs that are cancelled through a randomly selected entry VM.
   double CancelPercent = 0;
-  /// Control listener of the stand-in site; empty leaves out the checks there.
+  /// Address of the stand-in site's control listener; if empty, the checks at the site are skipped.
   std::string CheckAddress;
   bool Timeline = false;
   std::uint64_t Seed = 1;
 };
 
-/// The help text was asked for.
+/// The help text was requested.
 struct load_help {
   std::string Text;
 };
-/// The command line is wrong; Message says why.
+/// The command line is invalid; Message describes the error.
 struct load_usage_error {
   std::string Message;
 };
 
-/// Arguments without the program's name. RandomSeed is used when no seed is given.
+/// Parses Arguments, which do not include the program name. RandomSeed is used if no seed is given.
 std::variant<load_options, load_help, load_usage_error>
 parseLoadOptions(const std::vector<std::string> &Arguments, std::uint64_t RandomSeed);
 
--- a/src/yuccaplank/load/yuccaplank_load_main.cpp
+++ b/src/yuccaplank/load/yuccaplank_load_main.cpp
@@ -1,4 +1,4 @@
-// Load tool, see options.cpp for its options.
+// Load tool; see options.cpp for its options.
 #include "yuccaplank/load/load_run.hpp"
 #include "yuccaplank/runtime/descriptor_limit.hpp"
 #include "yuccaplank/runtime/loop.hpp"
@@ -13,7 +13,7 @@
 using namespace yuccaplank;
 
 constexpr int UsageStatus = 2;
-// Seeds stay short enough to be typed.
+// Random seeds are kept short enough to type.
 constexpr std::uint64_t MaxRandomSeed = 1'000'000'000;
 
 void printLines(std::string_view Lines) {
@@ -22,7 +22,7 @@
 }
 
 int runLoad(const load::load_options &Options) {
-  // Every job in flight uses a connection.
+  // Each job in progress uses a connection.
   runtime::raiseDescriptorLimit();
   printLines(load::formatFigure("seed", static_cast<double>(Options.Seed), "count"));
   auto Loop = runtime::makeLoop();
@@ -33,7 +33,7 @@
   Loop->run();
   printLines(Run->result().report());
   for (const std::string &Violation : Run->result().violations())
-    fmt::print(stderr, "breach: {}\n", Violation);
+    fmt::print(stderr, "violation: {}\n", Violation);
   return Run->exitStatus();
 }
 
