--- a/src/yuccaplank/load/measurements.hpp
+++ b/src/yuccaplank/load/measurements.hpp
@@ -15,7 +15,8 @@
 /// Returns the nearest-rank percentile, or 0 without samples. Sorts the samples.
 double percentile(std::vector<double> &Samples, double Percent);
 
-/// End of a job, from the caller's point of view. Left: the caller disconnected before the answer.
+/// End of a job, from the caller's point of view. NotTaken means that the job was rejected as malformed or
+/// was not found, Left that the caller disconnected before the answer.
 enum class job_end : std::uint8_t { Completed, Failed, Refused, NotTaken, NoAnswer, Left };
 inline constexpr std::size_t JobEndCount = 6;
 job_end toJobEnd(platform::caller_outcome Outcome);
--- a/src/yuccaplank/standin/program.cpp
+++ b/src/yuccaplank/standin/program.cpp
@@ -21,16 +21,16 @@
 } // namespace
 
 int runProgram(int Count, char **Arguments, const po::options_description &Description,
-               const std::function<int(const po::variables_map &Given)> &Run) {
+               const std::function<int(const po::variables_map &ParsedOptions)> &Run) {
   try {
-    po::variables_map Given;
-    po::store(po::parse_command_line(Count, Arguments, Description), Given);
-    po::notify(Given);
-    if (Given.contains("help")) {
+    po::variables_map ParsedOptions;
+    po::store(po::parse_command_line(Count, Arguments, Description), ParsedOptions);
+    po::notify(ParsedOptions);
+    if (ParsedOptions.contains("help")) {
       fmt::print("{}\n", optionsText(Description));
       return 0;
     }
-    return Run(Given);
+    return Run(ParsedOptions);
   } catch (const std::exception &Error) {
     fmt::print(stderr, "{}\n{}\n", Error.what(), optionsText(Description));
     return UsageStatus;
--- a/src/yuccaplank/standin/site.cpp
+++ b/src/yuccaplank/standin/site.cpp
@@ -49,20 +49,20 @@
     store_options StoreOptions;
     StoreOptions.Listen = fmt::format("{}:{}", Options.Ip, Options.StorePort);
     StoreOptions.Seed = Options.Seed;
-    auto MadeStore = makeStoreService(Loop, StoreOptions);
-    if (!MadeStore)
-      return MadeStore.error();
-    Store = std::move(MadeStore.value());
+    auto NewStore = makeStoreService(Loop, StoreOptions);
+    if (!NewStore)
+      return NewStore.error();
+    Store = std::move(NewStore.value());
     for (std::uint32_t Index = 0; Index < Options.Workers; ++Index)
       if (auto Added = addWorker(Index); !Added)
         return Added;
     wire::http_server_options ControlOptions;
     ControlOptions.Address = fmt::format("{}:{}", Options.Ip, Options.ControlPort);
-    auto MadeControl = wire::makeHttpServer(
-        Loop, ControlOptions, {[this](const http_request &Request) { onControl(Request); }, {}});
-    if (!MadeControl)
-      return MadeControl.error();
-    Control = std::move(MadeControl.value());
+    auto NewControl = wire::makeHttpServer(Loop, ControlOptions,
+                                           {[this](const http_request &Request) { onControl(Request); }, {}});
+    if (!NewControl)
+      return NewControl.error();
+    Control = std::move(NewControl.value());
     configure(1);
     writeEntries();
     return BOOST_OUTCOME_V2_NAMESPACE::success();
@@ -97,11 +97,12 @@
                                      Index / (RackSize * Options.Domains.size()) + 1);
     WorkerOptions.Slowness = Options.Slowness[Index % Options.Slowness.size()];
     WorkerOptions.Server.ClockRate = 1 - MaxClockDrift * Random.uniform();
-    auto Made = makeWorker(Loop, Random, WorkerOptions,
-                           [this, Index](const dispatch::run_key &Run) { onStart(Workers.at(Index), Run); });
-    if (!Made)
-      return Made.error();
-    Workers.push_back({std::move(Made.value()), 0, 0, false});
+    auto NewWorker = makeWorker(Loop, Random, WorkerOptions, [this, Index](const dispatch::run_key &Run) {
+      onStart(Workers.at(Index), Run);
+    });
+    if (!NewWorker)
+      return NewWorker.error();
+    Workers.push_back({std::move(NewWorker.value()), 0, 0, false});
     return BOOST_OUTCOME_V2_NAMESPACE::success();
   }
 
--- a/src/yuccaplank/standin/store_service.cpp
+++ b/src/yuccaplank/standin/store_service.cpp
@@ -99,11 +99,11 @@
     wire::http_server_options ServerOptions;
     ServerOptions.Address = Options.Listen;
     ServerOptions.RequestTimeout = std::chrono::seconds(60);
-    auto Made = wire::makeHttpServer(Loop, ServerOptions,
-                                     {[this](const http_request &Request) { onRequest(Request); }, {}});
-    if (!Made)
-      return Made.error();
-    Server = std::move(Made.value());
+    auto NewServer = wire::makeHttpServer(Loop, ServerOptions,
+                                          {[this](const http_request &Request) { onRequest(Request); }, {}});
+    if (!NewServer)
+      return NewServer.error();
+    Server = std::move(NewServer.value());
     return BOOST_OUTCOME_V2_NAMESPACE::success();
   }
 
--- a/src/yuccaplank/standin/worker.cpp
+++ b/src/yuccaplank/standin/worker.cpp
@@ -125,11 +125,11 @@
     wire::http_server_options ServerOptions;
     ServerOptions.Address = Options.Listen;
     ServerOptions.RequestTimeout = std::chrono::seconds(30);
-    auto Made = wire::makeHttpServer(Loop, ServerOptions,
-                                     {[this](const http_request &Request) { onRequest(Request); }, {}});
-    if (!Made)
-      return Made.error();
-    Server = std::move(Made.value());
+    auto NewServer = wire::makeHttpServer(Loop, ServerOptions,
+                                          {[this](const http_request &Request) { onRequest(Request); }, {}});
+    if (!NewServer)
+      return NewServer.error();
+    Server = std::move(NewServer.value());
     std::string Ip = Options.Listen.substr(0, Options.Listen.rfind(':'));
     Options.Listen = fmt::format("{}:{}", Ip, Server->port());
     TaskServer = std::make_unique<task_server>(Loop.clock().unixMs(), Options.Server);
--- a/src/yuccaplank/wire/http_server.cpp
+++ b/src/yuccaplank/wire/http_server.cpp
@@ -333,7 +333,7 @@
 
   int dispatch(h2o_req_t *Native) {
     h2o_socket_t *Socket = Native->conn->callbacks->get_socket(Native->conn);
-    auto *From = static_cast<connection *>(Socket->on_close.data);
+    auto *Connection = static_cast<connection *>(Socket->on_close.data);
     void *Memory = h2o_mem_alloc_shared(&Native->pool, sizeof(pending_request), [](void *Ended) {
       auto *Request = static_cast<pending_request *>(Ended);
       Request->Owner->onRequestEnded(*Request);
@@ -341,20 +341,20 @@
     });
     auto *Request = new (Memory) pending_request;
     Request->Owner = this;
-    Request->Connection = From;
+    Request->Connection = Connection;
     Request->Native = Native;
     Request->Token = ++LastRequestToken;
     Requests.emplace(Request->Token, Request);
-    ++From->Pending;
-    From->Http2 = Native->version >= 0x200;
-    if (!From->Http2)
-      From->Http1Request = Request->Token;
+    ++Connection->Pending;
+    Connection->Http2 = Native->version >= 0x200;
+    if (!Connection->Http2)
+      Connection->Http1Request = Request->Token;
     if (headerBytes(*Native) > MaxHeaderBytes)
       replyWithError(*Request, 431);
     else
       deliver(*Request);
-    if (From->PeerClosed && From->Http1Request)
-      endHttp1Request(*From);
+    if (Connection->PeerClosed && Connection->Http1Request)
+      endHttp1Request(*Connection);
     return 0;
   }
 
@@ -411,11 +411,11 @@
   void onRequestEnded(const pending_request &Request) {
     if (Requests.erase(Request.Token) > 0)
       notifyClosed(Request.Token);
-    connection &From = *Request.Connection;
-    --From.Pending;
-    From.LastActivity = Loop.clock().now();
-    if (From.Http1Request == Request.Token)
-      From.Http1Request = 0;
+    connection &Connection = *Request.Connection;
+    --Connection.Pending;
+    Connection.LastActivity = Loop.clock().now();
+    if (Connection.Http1Request == Request.Token)
+      Connection.Http1Request = 0;
   }
 
   void closeListener() {
--- a/src/yuccaplank/wire/http_server_test.cpp
+++ b/src/yuccaplank/wire/http_server_test.cpp
@@ -28,9 +28,9 @@
         Server->reply(Requests.back().Token, ok());
     };
     Handlers.OnClosed = [this](request_token Token) { Closed.push_back(Token); };
-    auto Made = makeHttpServer(*Loop, std::move(Options), std::move(Handlers));
-    CPPUNIT_ASSERT(Made.has_value());
-    Server = std::move(Made.value());
+    auto NewServer = makeHttpServer(*Loop, std::move(Options), std::move(Handlers));
+    CPPUNIT_ASSERT(NewServer.has_value());
+    Server = std::move(NewServer.value());
   }
   // The loop has to run to close the server's sockets.
   ~server_fixture() {
--- a/src/yuccaplank/wire/peer_link.cpp
+++ b/src/yuccaplank/wire/peer_link.cpp
@@ -161,9 +161,9 @@
   std::string peerKey(const std::string &Vm, const std::string &Address) const {
     if (!Vm.empty())
       return Vm;
-    auto Known = VmsByAddress.find(Address);
-    if (Known != VmsByAddress.end() && Peers.at(Known->second).ActiveConnection != nullptr)
-      return Known->second;
+    auto Found = VmsByAddress.find(Address);
+    if (Found != VmsByAddress.end() && Peers.at(Found->second).ActiveConnection != nullptr)
+      return Found->second;
     return AddressKeyPrefix + Address;
   }
 
@@ -174,9 +174,9 @@
       Connection.Vm = Key;
     Connection.Address = Address;
     std::uint64_t Id = Connection.Id;
-    auto Started = connectPeer(Loop, *this, std::move(Connection));
-    if (Started)
-      Connections.emplace(Id, connection_entry{std::move(Started.value()), Key});
+    auto NewConnection = connectPeer(Loop, *this, std::move(Connection));
+    if (NewConnection)
+      Connections.emplace(Id, connection_entry{std::move(NewConnection.value()), Key});
     else
       postGuarded([this, Key, Address] { handleConnectFailure(Key, Address, errc::ConnectFailed); });
   }
--- a/src/yuccaplank/wire/peer_protocol.hpp
+++ b/src/yuccaplank/wire/peer_protocol.hpp
@@ -31,8 +31,9 @@
 std::string encodeEnvelope(const schema::envelope &Message);
 
 /// One side of a connection. Both sides send their hello immediately and answer the other side's hello with a
-/// proof. A side is authenticated when the other side has verified its proof. A proof is an HMAC-SHA-256 with
-/// the shared key over the sender's role, the client's hello and the server's hello.
+/// proof. Each side considers the other one authenticated once it has verified the other side's proof. A
+/// proof is an HMAC-SHA-256 with the shared key over the sender's role, the client's hello and the server's
+/// hello.
 class peer_protocol {
 public:
   explicit peer_protocol(peer_protocol_options Options);
