--- a/include/yuccaplank/wire/http_client.hpp
+++ b/include/yuccaplank/wire/http_client.hpp
@@ -15,7 +15,7 @@
 
 /// How far a failed request had progressed. This alone decides whether a caller may retry it.
 enum class transfer_stage : std::uint8_t {
-  /// No byte of the request was written: no connection was established, or it closed before.
+  /// No byte of the request was written: there was no connection, or it closed before the first byte.
   NothingWritten,
   /// At least one byte may have been written; the server may have acted on the request.
   MaybeWritten,
--- a/src/yuccaplank/load/load_run.hpp
+++ b/src/yuccaplank/load/load_run.hpp
@@ -24,8 +24,7 @@
   virtual void stopArrivals() = 0;
   /// Returns the measurements, which are complete once OnDone has been called.
   virtual measurements &result() = 0;
-  /// Returns 3 if there was a violation, 1 if a check failed to complete or no job was submitted, otherwise
-  /// 0.
+  /// Returns 3 after a violation, 1 if a check failed to complete or no job was submitted, otherwise 0.
   [[nodiscard]] virtual int exitStatus() const = 0;
 };
 
--- a/src/yuccaplank/standin/worker.hpp
+++ b/src/yuccaplank/standin/worker.hpp
@@ -29,7 +29,7 @@
   double LostAnswers = 0;
   /// Share of orders that are not answered and are executed seconds later.
   double LateOrders = 0;
-  /// Factor on all run times.
+  /// Additional factor on all run times.
   double Slowdown = 1;
 };
 
@@ -43,7 +43,7 @@
   /// Thousandths of a core.
   std::uint32_t Cpu = 64'000;
   std::uint32_t MemoryMb = 262'144;
-  /// Factor on all run times.
+  /// Factor on all run times: the speed of this worker.
   double Slowness = 1;
   task_server_options Server;
 };
