--- a/src/yuccaplank/simulation/simulated_servers.cpp
+++ b/src/yuccaplank/simulation/simulated_servers.cpp
@@ -21,10 +21,10 @@
 standin::run_work simulated_servers::makeWork(const simulated_server &Server,
                                               const std::string &Specification) {
   standin::run_work Work = standin::decodeWork(Specification);
-  Work.Time = runtime::fromMs(runtime::toMs(Work.Time) * Server.Slowness * Server.Slowdown);
+  Work.Duration = runtime::fromMs(runtime::toMs(Work.Duration) * Server.Slowness * Server.Slowdown);
   Work.Fails = Server.Failing;
   if (Server.Hanging)
-    Work.Time = HangDuration;
+    Work.Duration = HangDuration;
   return Work;
 }
 
@@ -198,7 +198,7 @@
 
 void simulated_servers::answerHolds(const std::string &Name) {
   simulated_server &Server = Servers.at(Name);
-  if (!Server.State || !Server.State->hasEnds())
+  if (!Server.State || !Server.State->hasUnobservedEnds())
     return;
   std::vector<pending_hold> Due;
   Due.swap(Server.Holds);
@@ -210,7 +210,7 @@
 
 // Advances the server's state to the current time when its next event is due.
 void simulated_servers::scheduleAdvance(const std::string &Name) {
-  auto Due = Servers.at(Name).State->nextEvent();
+  auto Due = Servers.at(Name).State->nextEventTime();
   if (!Due)
     return;
   std::uint64_t Incarnation = Servers.at(Name).Incarnation;
--- a/src/yuccaplank/wire/fuzz/fuzz_targets.cpp
+++ b/src/yuccaplank/wire/fuzz/fuzz_targets.cpp
@@ -22,8 +22,9 @@
 void checkIssues(std::string_view Text, const std::vector<document_issue> &Issues) {
   auto Lines = 1 + std::count(Text.begin(), Text.end(), '\n');
   for (const document_issue &Issue : Issues) {
-    require(Issue.Line >= 1 && Issue.Line <= Lines, "an issue names a line of the document");
-    require(Issue.Code != runtime::errc::Ok && !Issue.Expected.empty(), "an issue has a reason");
+    require(Issue.Line >= 1 && Issue.Line <= Lines, "an issue refers to a line of the document");
+    require(Issue.Code != runtime::errc::Ok && !Issue.Expected.empty(),
+            "an issue has an error code and an expected value");
   }
 }
 
@@ -36,10 +37,11 @@
   std::string Written = writeDocument(First);
   Message Second;
   require(Read(Written, Second).empty(), "a written document is accepted");
-  require(writeDocument(Second) == Written, "a document is the same after writing and reading");
+  require(writeDocument(Second) == Written, "a document does not change when it is written and read again");
 }
 
-template <typename Message> std::vector<document_issue> readAny(std::string_view Text, Message &Target) {
+template <typename Message>
+std::vector<document_issue> readAnyMessage(std::string_view Text, Message &Target) {
   return readDocument(Text, Target);
 }
 
@@ -47,21 +49,21 @@
   return readSettings(Text, Target);
 }
 
-std::string_view textOf(const std::uint8_t *Data, std::size_t Size) {
+std::string_view toText(const std::uint8_t *Data, std::size_t Size) {
   return {reinterpret_cast<const char *>(Data), Size};
 }
 
 } // namespace
 
 int fuzzSettings(const std::uint8_t *Data, std::size_t Size) {
-  std::string_view Text = textOf(Data, Size);
+  std::string_view Text = toText(Data, Size);
   checkReader<schema::daemon_settings>(Text, readDaemonSettings);
-  checkReader<schema::daemon_settings>(Text, readAny);
+  checkReader<schema::daemon_settings>(Text, readAnyMessage);
   return 0;
 }
 
 int fuzzJob(const std::uint8_t *Data, std::size_t Size) {
-  checkReader<schema::job_document>(textOf(Data, Size), readAny);
+  checkReader<schema::job_document>(toText(Data, Size), readAnyMessage);
   return 0;
 }
 
--- a/src/yuccaplank/wire/http_client.cpp
+++ b/src/yuccaplank/wire/http_client.cpp
@@ -20,13 +20,14 @@
 using runtime::duration;
 using runtime::errc;
 
-// h2o wants a time limit for each read and write; the limits of this client are its own timers.
+// h2o requires a timeout for each read and write. This client uses its own timers instead, so this timeout
+// never expires.
 constexpr std::uint64_t NoIoTimeoutMs = 365ULL * 24 * 3600 * 1000;
-// Request line and headers of a task request take about 250 bytes.
+// Initial buffer size for the request line and headers, which take about 250 bytes for a task request.
 constexpr std::size_t TypicalHeadBytes = 512;
 
-// Idle time-outs after which the pool of an address without connections is freed. Each pool holds an h2o
-// timer that every turn of the loop visits, so pools of replaced VMs must not accumulate.
+// Number of idle timeouts after which the pool of an address without connections is freed. Each pool has an
+// h2o timer that every loop iteration visits, so the pools of replaced VMs must not accumulate.
 constexpr int PoolRetentionFactor = 10;
 
 constexpr int NoContentStatus = 204;
@@ -48,18 +49,18 @@
   }
 };
 
-// One exchange, from call() until its callback has run.
+// A request and its reply, from call() until the callback has run.
 struct exchange {
   client_impl *Owner = nullptr;
   call_id Id = 0;
   std::function<void(http_call_result)> OnDone;
-  // Null before the exchange has begun and after it has ended.
+  // Null before the exchange starts and after it ends.
   h2o_http1client_t *Native = nullptr;
   std::string Head;
   std::string Body;
   std::array<h2o_iovec_t, 2> Buffers{};
   bool IsHead = false;
-  // Whether the request was handed to a connection.
+  // Whether the request was passed to a connection.
   bool Written = false;
   bool Ended = false;
   duration Timeout{};
@@ -69,14 +70,14 @@
 
 std::string_view view(const h2o_iovec_t &Text) { return {Text.base, Text.len}; }
 
-// A line break in a header would let its value end the header section.
-bool holdsLineBreak(std::string_view Text) { return Text.find_first_of("\r\n") != std::string_view::npos; }
+// A line break in a header value could inject further headers or end the header section.
+bool containsLineBreak(std::string_view Text) { return Text.find_first_of("\r\n") != std::string_view::npos; }
 
-bool wellFormed(const http_call &Call) {
-  return !holdsLineBreak(Call.Method) && !holdsLineBreak(Call.Host) &&
+bool isWellFormed(const http_call &Call) {
+  return !containsLineBreak(Call.Method) && !containsLineBreak(Call.Host) &&
          Call.Path.find_first_of("\r\n ") == std::string::npos &&
          std::ranges::none_of(Call.Headers, [](const http_header &Header) {
-           return holdsLineBreak(Header.Name) || holdsLineBreak(Header.Value);
+           return containsLineBreak(Header.Name) || containsLineBreak(Header.Value);
          });
 }
 
@@ -94,9 +95,9 @@
   return Head;
 }
 
-// A body that ends with the connection cannot be told from one that was cut off, and two lengths may
-// disagree.
-bool lengthIsCertain(const http_call_result &Result) {
+// A body that is delimited by the end of the connection cannot be distinguished from a truncated one, and two
+// length headers may contradict each other.
+bool hasUnambiguousLength(const http_call_result &Result) {
   return std::ranges::count_if(Result.Headers, [](const http_header &Header) {
            return Header.Name == "content-length" || Header.Name == "transfer-encoding";
          }) == 1;
@@ -129,7 +130,7 @@
     Exchanges.emplace(Exchange.Id, std::move(Owned));
     connection_pool &Pool = poolFor(Call.Address);
     Pool.LastUsed = Loop.clock().now();
-    if (!Pool.Valid || !wellFormed(Call)) {
+    if (!Pool.Valid || !isWellFormed(Call)) {
       fail(Exchange, errc::MalformedDocument);
       return Exchange.Id;
     }
@@ -145,7 +146,7 @@
     return Exchange.Id;
   }
 
-  void abandon(call_id Call) override {
+  void cancel(call_id Call) override {
     auto Found = Exchanges.find(Call);
     if (Found == Exchanges.end())
       return;
@@ -159,19 +160,19 @@
   }
 
 private:
-  static exchange &exchangeOf(h2o_http1client_t *Native) { return *static_cast<exchange *>(Native->data); }
+  static exchange &getExchange(h2o_http1client_t *Native) { return *static_cast<exchange *>(Native->data); }
 
   static h2o_http1client_head_cb onConnect(h2o_http1client_t *Native, const char *Error,
                                            h2o_iovec_t **Buffers, std::size_t *BufferCount, int *IsHead) {
-    exchange &Exchange = exchangeOf(Native);
+    exchange &Exchange = getExchange(Native);
     if (Error) {
       Exchange.Native = nullptr;
       Exchange.Owner->fail(Exchange, errc::ConnectFailed);
       return nullptr;
     }
-    // h2o writes as soon as this function returns, so from here on bytes may have reached the server. h2o
-    // takes a pooled connection only after a read has shown that the server has not closed it, and repeats
-    // nothing by itself.
+    // h2o writes as soon as this function returns, so from now on bytes may have reached the server. h2o uses
+    // a pooled connection only after a read has shown that the server has not closed it, and never retries a
+    // request by itself.
     Exchange.Written = true;
     Exchange.Buffers[0] = h2o_iovec_init(Exchange.Head.data(), Exchange.Head.size());
     Exchange.Buffers[1] = h2o_iovec_init(Exchange.Body.data(), Exchange.Body.size());
@@ -185,7 +186,7 @@
 
   static h2o_http1client_body_cb onHead(h2o_http1client_t *Native, const char *Error, int, int Status,
                                         h2o_iovec_t, h2o_header_t *Headers, std::size_t HeaderCount, int) {
-    exchange &Exchange = exchangeOf(Native);
+    exchange &Exchange = getExchange(Native);
     bool AtEnd = Error == h2o_http1client_error_is_eos;
     if (Error && !AtEnd) {
       Exchange.Native = nullptr;
@@ -197,14 +198,14 @@
     for (std::size_t Index = 0; Index < HeaderCount; ++Index)
       Exchange.Result.Headers.push_back(
           {std::string(view(*Headers[Index].name)), std::string(view(Headers[Index].value))});
-    // Replies with these statuses have no body, whatever their headers say.
+    // Replies with these statuses have no body, regardless of their headers.
     bool Bodiless = Status == NoContentStatus || Status == NotModifiedStatus;
     if (AtEnd || Bodiless) {
       Exchange.Native = nullptr;
       Exchange.Owner->succeed(Exchange);
       return nullptr;
     }
-    if (!lengthIsCertain(Exchange.Result)) {
+    if (!hasUnambiguousLength(Exchange.Result)) {
       Exchange.Native = nullptr;
       Exchange.Owner->fail(Exchange, errc::ConnectionLost);
       return nullptr;
@@ -213,10 +214,10 @@
   }
 
   static int onBody(h2o_http1client_t *Native, const char *Error) {
-    exchange &Exchange = exchangeOf(Native);
+    exchange &Exchange = getExchange(Native);
     bool AtEnd = Error == h2o_http1client_error_is_eos;
-    // h2o also reports the end of a chunked body when the connection closes between two chunks; then nothing
-    // has been read this time.
+    // h2o also reports the end of a chunked body if the connection closes between two chunks. In that case no
+    // bytes were read in this call.
     bool CutOff = AtEnd && Native->sock->bytes_read == 0;
     if ((Error && !AtEnd) || CutOff) {
       Exchange.Native = nullptr;
@@ -255,24 +256,25 @@
     return *Pools.emplace(Address, std::move(Pool)).first->second;
   }
 
-  // A pool must outlive the connects it has begun, which hold no connection yet.
-  [[nodiscard]] duration poolRetention() const {
+  // A pool must outlive its pending connection attempts, which are not counted as connections yet.
+  [[nodiscard]] duration poolRetentionTime() const {
     return PoolRetentionFactor * Options.IdleTimeout + Options.ConnectTimeout;
   }
 
   void startPruning() {
-    PruneTimer = Loop.after(poolRetention(), [this] {
+    PruneTimer = Loop.after(poolRetentionTime(), [this] {
       PruneTimer = 0;
-      runtime::time_point Latest = Loop.clock().now() - poolRetention();
+      runtime::time_point Cutoff = Loop.clock().now() - poolRetentionTime();
       std::erase_if(Pools, [&](const auto &Entry) {
-        return Entry.second->Native._shared.count == 0 && Entry.second->LastUsed <= Latest;
+        return Entry.second->Native._shared.count == 0 && Entry.second->LastUsed <= Cutoff;
       });
       if (!Pools.empty())
         startPruning();
     });
   }
 
-  // One timer for each exchange: until it is connected the earlier of both limits applies.
+  // Each exchange has one timer. While connecting, the earlier of the connect timeout and the call's timeout
+  // applies.
   void armTimer(exchange &Exchange) {
     if (Exchange.Timer)
       Loop.cancel(std::exchange(Exchange.Timer, 0));
@@ -302,15 +304,15 @@
 
   void succeed(exchange &Exchange) { end(Exchange); }
 
-  // Callbacks run in a later turn: h2o returns the connection to its pool after the last callback of the
-  // exchange, so that a call made from there would open another one.
+  // Callbacks run in a later loop iteration: h2o returns the connection to its pool only after the last h2o
+  // callback of the exchange, so a call made from within that callback would open another connection.
   void end(exchange &Exchange) {
     Exchange.Ended = true;
     if (Exchange.Timer)
       Loop.cancel(std::exchange(Exchange.Timer, 0));
     Finished.push_back(Exchange.Id);
     if (Finished.size() == 1)
-      Loop.post([this, Weak = std::weak_ptr<int>(Alive)] {
+      Loop.post([this, Weak = std::weak_ptr<int>(AliveToken)] {
         if (!Weak.expired())
           deliver();
       });
@@ -319,7 +321,7 @@
   void deliver() {
     std::vector<call_id> Batch;
     Batch.swap(Finished);
-    std::weak_ptr<int> Weak = Alive;
+    std::weak_ptr<int> Weak = AliveToken;
     for (call_id Id : Batch) {
       auto Found = Exchanges.find(Id);
       if (Found == Exchanges.end())
@@ -349,7 +351,7 @@
   std::vector<call_id> Finished;
   runtime::timer_id PruneTimer = 0;
   call_id LastCall = 0;
-  std::shared_ptr<int> Alive = std::make_shared<int>(0);
+  std::shared_ptr<int> AliveToken = std::make_shared<int>(0);
 };
 
 } // namespace
--- a/src/yuccaplank/wire/http_server.cpp
+++ b/src/yuccaplank/wire/http_server.cpp
@@ -28,36 +28,37 @@
 using runtime::time_point;
 
 constexpr int ListenBacklog = 1024;
-// Connections accepted in one turn of the loop, so that a burst of them does not delay requests in hand.
+// Limit of connections accepted in one loop iteration, so that a burst does not delay requests in progress.
 constexpr int AcceptBatch = 32;
-// Streams of one HTTP/2 connection that are handled at the same time; h2o's own limit for open streams.
+// Concurrent requests of one HTTP/2 connection; equals h2o's limit for open streams.
 constexpr std::size_t MaxStreamsPerConnection = 256;
-// Names and values of the headers and the path of one request. h2o itself accepts 408 KiB.
+// Limit for the path and the header names and values of a request. The limit of h2o itself is 408 KiB.
 constexpr std::size_t MaxHeaderBytes = 16U << 10U;
 
 class server_state;
 
-// An accepted connection; owned by the server's state until h2o closes the socket.
+// An accepted connection, owned by server_state until h2o closes the socket.
 struct connection {
   server_state *Owner = nullptr;
   h2o_socket_t *Socket = nullptr;
   std::uint64_t Id = 0;
   int Fd = -1;
   std::size_t Pending = 0;
-  // The unanswered request of an HTTP/1.1 connection; 0 when there is none.
+  // The unanswered request of an HTTP/1.1 connection, or 0.
   request_token Http1Request = 0;
   bool Http2 = false;
   bool PeerClosed = false;
   time_point LastActivity;
 };
 
-// A request on its way; lives in the request's memory pool, so that h2o tells when the request has ended.
+// A request in progress. It is allocated in the memory pool of the h2o request, so that its destructor runs
+// when h2o frees the request.
 struct pending_request {
   server_state *Owner = nullptr;
   connection *Connection = nullptr;
   h2o_req_t *Native = nullptr;
   request_token Token = 0;
-  // Headers and body are sent from here without a copy.
+  // h2o sends the headers and the body from here without copying them.
   http_reply Reply;
 };
 
@@ -112,7 +113,7 @@
   return Bytes;
 }
 
-// Everything h2o refers to. It outlives the server object until the last connection has closed.
+// All state that h2o refers to. It outlives the server object until the last connection has closed.
 class server_state : public std::enable_shared_from_this<server_state> {
 public:
   server_state(runtime::loop &Loop, http_server_options OptionsIn, http_server_handlers HandlersIn)
@@ -126,18 +127,19 @@
   server_state &operator=(const server_state &) = delete;
   ~server_state() {
     closeListener();
-    // A shutdown leaves the timer of its second GOAWAY frame behind, which h2o does not expect at the end.
+    // After a graceful shutdown the timer for the second GOAWAY frame is still linked, which
+    // h2o_context_dispose() does not expect.
     h2o_timeout_unlink(&Context.http2._graceful_shutdown_timeout);
     h2o_multithread_queue_t *Queue = Context.queue;
     h2o_context_dispose(&Context);
-    // h2o 2.2 ends the queue of its context without freeing it.
+    // h2o 2.2 disposes of the queue of its context without freeing it.
     std::free(Queue);
     h2o_config_dispose(&Config);
   }
 
   runtime::result<void> listen() {
-    if (auto Watching = Hangups.open(); !Watching)
-      return Watching;
+    if (auto Opened = Hangups.open(); !Opened)
+      return Opened;
     auto Listening = listenOn(Options.Address, ListenBacklog);
     if (!Listening)
       return Listening.error();
@@ -162,7 +164,7 @@
     send(Request);
   }
 
-  void drop(request_token Token) {
+  void closeWithoutReply(request_token Token) {
     auto Found = Requests.find(Token);
     if (Found == Requests.end())
       return;
@@ -178,8 +180,8 @@
     closeIdle();
   }
 
-  // The server object is being destroyed: nothing more is reported, and connections close.
-  void abandon() {
+  // Called when the server object is destroyed: no handler is called any more, and all connections close.
+  void detach() {
     Handlers = {};
     shutdown();
     for (auto &[Id, Connection] : Connections)
@@ -192,7 +194,7 @@
     if (SweepTimer)
       Loop.cancel(SweepTimer);
     if (!Connections.empty())
-      Self = shared_from_this();
+      SelfReference = shared_from_this();
   }
 
   [[nodiscard]] std::uint16_t port() const { return Port; }
@@ -257,9 +259,9 @@
 
   void onConnectionClosed(connection &Closed) {
     Connections.erase(Closed.Id);
-    // h2o still uses its context while it closes the connection.
-    if (Self && Connections.empty())
-      Loop.post([Last = std::move(Self)] {});
+    // h2o still uses its context while it closes the connection, so the state is destroyed later.
+    if (SelfReference && Connections.empty())
+      Loop.post([Last = std::move(SelfReference)] {});
   }
 
   void onHangup(std::uint64_t Id) {
@@ -271,21 +273,21 @@
       endHttp1Request(*Found->second);
   }
 
-  // The caller of a pending HTTP/1.1 request has gone. A client that only closed its sending side is treated
-  // alike, since the two cannot be told apart.
-  void endHttp1Request(connection &Gone) {
-    request_token Token = Gone.Http1Request;
-    ::shutdown(Gone.Fd, SHUT_RDWR);
+  // Ends the pending HTTP/1.1 request of a disconnected client. A client that closed only its sending side is
+  // treated the same way, because the two cases cannot be distinguished.
+  void endHttp1Request(connection &Connection) {
+    request_token Token = Connection.Http1Request;
+    ::shutdown(Connection.Fd, SHUT_RDWR);
     notifyClosed(Token);
     endRequest(Token);
   }
 
-  // Ends a request without a caller; h2o closes the connection when its write fails.
+  // Ends a request whose client has disconnected; h2o closes the connection when its write fails.
   void endRequest(request_token Token) {
     auto Found = Requests.find(Token);
     if (Found == Requests.end())
       return;
-    refuse(*Found->second, 503);
+    replyWithError(*Found->second, 503);
   }
 
   void notifyClosed(request_token Token) {
@@ -296,8 +298,9 @@
     });
   }
 
-  // A connection that has delivered no request for twice the time-out is closed: h2o restarts its own
-  // time-out whenever a part of a body arrives, so a slow sender could hold a connection for ever.
+  // A connection on which no request has ended for twice the request timeout is closed. The timeout of h2o is
+  // not sufficient: it restarts whenever a part of a body arrives, so a slow sender could keep a connection
+  // open forever.
   void startSweep() {
     SweepTimer = Loop.after(Options.RequestTimeout / 2, [Weak = weak_from_this()] {
       if (auto State = Weak.lock())
@@ -307,9 +310,9 @@
 
   void sweep() {
     SweepTimer = 0;
-    time_point Latest = Loop.clock().now() - 2 * Options.RequestTimeout;
+    time_point Cutoff = Loop.clock().now() - 2 * Options.RequestTimeout;
     for (auto &[Id, Connection] : Connections)
-      if (Connection->Pending == 0 && Connection->LastActivity <= Latest)
+      if (Connection->Pending == 0 && Connection->LastActivity <= Cutoff)
         ::shutdown(Connection->Fd, SHUT_RDWR);
     if (Context.shutdown_requested)
       closeIdle();
@@ -317,8 +320,8 @@
       startSweep();
   }
 
-  // Closes HTTP/1.1 connections that carry no request, unless one has arrived unread. h2o itself ends HTTP/2
-  // connections by GOAWAY.
+  // Closes idle HTTP/1.1 connections, unless they have unread input. h2o itself closes HTTP/2 connections
+  // with GOAWAY.
   void closeIdle() {
     for (auto &[Id, Connection] : Connections) {
       char Byte = 0;
@@ -330,7 +333,7 @@
 
   int dispatch(h2o_req_t *Native) {
     h2o_socket_t *Socket = Native->conn->callbacks->get_socket(Native->conn);
-    auto *From = static_cast<connection *>(Socket->on_close.data);
+    auto *Connection = static_cast<connection *>(Socket->on_close.data);
     void *Memory = h2o_mem_alloc_shared(&Native->pool, sizeof(pending_request), [](void *Ended) {
       auto *Request = static_cast<pending_request *>(Ended);
       Request->Owner->onRequestEnded(*Request);
@@ -338,20 +341,20 @@
     });
     auto *Request = new (Memory) pending_request;
     Request->Owner = this;
-    Request->Connection = From;
+    Request->Connection = Connection;
     Request->Native = Native;
-    Request->Token = ++LastToken;
+    Request->Token = ++LastRequestToken;
     Requests.emplace(Request->Token, Request);
-    ++From->Pending;
-    From->Http2 = Native->version >= 0x200;
-    if (!From->Http2)
-      From->Http1Request = Request->Token;
+    ++Connection->Pending;
+    Connection->Http2 = Native->version >= 0x200;
+    if (!Connection->Http2)
+      Connection->Http1Request = Request->Token;
     if (headerBytes(*Native) > MaxHeaderBytes)
-      refuse(*Request, 431);
+      replyWithError(*Request, 431);
     else
       deliver(*Request);
-    if (From->PeerClosed && From->Http1Request)
-      endHttp1Request(*From);
+    if (Connection->PeerClosed && Connection->Http1Request)
+      endHttp1Request(*Connection);
     return 0;
   }
 
@@ -377,7 +380,7 @@
     Handlers.OnRequest(std::move(Value));
   }
 
-  void refuse(const pending_request &Request, int Status) {
+  void replyWithError(const pending_request &Request, int Status) {
     Request.Native->http1_is_persistent = 0;
     http_reply Reply;
     Reply.Status = Status;
@@ -385,7 +388,7 @@
   }
 
   void send(pending_request &Request) {
-    static h2o_generator_t NoMore{nullptr, nullptr};
+    static h2o_generator_t EmptyGenerator{nullptr, nullptr};
     h2o_req_t *Native = Request.Native;
     http_reply &Reply = Request.Reply;
     Native->res.status = Reply.Status;
@@ -399,20 +402,20 @@
       h2o_add_header_by_str(&Native->pool, &Native->res.headers, Header.Name.data(), Header.Name.size(), 1,
                             nullptr, Header.Value.data(), Header.Value.size());
     }
-    h2o_start_response(Native, &NoMore);
+    h2o_start_response(Native, &EmptyGenerator);
     h2o_iovec_t Body = h2o_iovec_init(Reply.Body.data(), Reply.Body.size());
     h2o_send(Native, &Body, Reply.Body.empty() ? 0 : 1, H2O_SEND_STATE_FINAL);
   }
 
-  // Runs when h2o frees the request, after its reply was written or its connection has closed.
+  // Called when h2o frees the request, after the reply was written or the connection has closed.
   void onRequestEnded(const pending_request &Request) {
     if (Requests.erase(Request.Token) > 0)
       notifyClosed(Request.Token);
-    connection &From = *Request.Connection;
-    --From.Pending;
-    From.LastActivity = Loop.clock().now();
-    if (From.Http1Request == Request.Token)
-      From.Http1Request = 0;
+    connection &Connection = *Request.Connection;
+    --Connection.Pending;
+    Connection.LastActivity = Loop.clock().now();
+    if (Connection.Http1Request == Request.Token)
+      Connection.Http1Request = 0;
   }
 
   void closeListener() {
@@ -431,11 +434,11 @@
   std::uint16_t Port = 0;
   std::unordered_map<request_token, pending_request *> Requests;
   std::unordered_map<std::uint64_t, std::unique_ptr<connection>> Connections;
-  request_token LastToken = 0;
+  request_token LastRequestToken = 0;
   std::uint64_t LastConnection = 0;
   runtime::timer_id SweepTimer = 0;
-  // Keeps the state while connections remain after the server object has gone.
-  std::shared_ptr<server_state> Self;
+  // Keeps the state alive while connections remain after the server object was destroyed.
+  std::shared_ptr<server_state> SelfReference;
 };
 
 class http_server_impl final : public http_server {
@@ -443,10 +446,10 @@
   explicit http_server_impl(std::shared_ptr<server_state> StateIn) : State(std::move(StateIn)) {}
   http_server_impl(const http_server_impl &) = delete;
   http_server_impl &operator=(const http_server_impl &) = delete;
-  ~http_server_impl() override { State->abandon(); }
+  ~http_server_impl() override { State->detach(); }
 
   void reply(request_token Token, http_reply Reply) override { State->reply(Token, std::move(Reply)); }
-  void drop(request_token Token) override { State->drop(Token); }
+  void closeWithoutReply(request_token Token) override { State->closeWithoutReply(Token); }
   [[nodiscard]] std::uint16_t port() const override { return State->port(); }
   void shutdown() override { State->shutdown(); }
   [[nodiscard]] std::size_t pendingRequests() const override { return State->pendingRequests(); }
--- a/src/yuccaplank/wire/line_counter.hpp
+++ b/src/yuccaplank/wire/line_counter.hpp
@@ -1,4 +1,4 @@
-// Lines of the tokens that the JSON parser reads.
+// Line numbers of the tokens that the JSON parser reads.
 #pragma once
 
 #include <algorithm>
@@ -8,28 +8,28 @@
 
 namespace yuccaplank::wire {
 
-/// Follows the parser through the text and knows the line of the token it has read last.
+/// Tracks the parser's position and computes the line of the last token.
 class line_counter {
 public:
-  explicit line_counter(std::string_view Text) : Counted(Text.data()), Consumed(Text.data()) {}
-  /// End of the text that the parser has taken.
-  void consumed(const char *End) { Consumed = End; }
-  /// Line of the last token, from 1. The parser has read one character beyond a number, which may be a
-  /// newline; that one does not count.
+  explicit line_counter(std::string_view Text) : CountedUntil(Text.data()), ConsumedUntil(Text.data()) {}
+  /// Sets the end of the text that the parser has consumed.
+  void setConsumed(const char *End) { ConsumedUntil = End; }
+  /// Returns the line of the last token, counted from 1. The last consumed character is not counted: after a
+  /// number it is the character behind the token, which may be a newline.
   int line() {
-    const char *Last = Consumed > Counted ? Consumed - 1 : Counted;
-    Line += static_cast<int>(std::count(Counted, Last, '\n'));
-    Counted = Last;
+    const char *Last = ConsumedUntil > CountedUntil ? ConsumedUntil - 1 : CountedUntil;
+    Line += static_cast<int>(std::count(CountedUntil, Last, '\n'));
+    CountedUntil = Last;
     return Line;
   }
 
 private:
-  const char *Counted;
-  const char *Consumed;
+  const char *CountedUntil;
+  const char *ConsumedUntil;
   int Line = 1;
 };
 
-/// Input iterator that reports its progress to a line counter.
+/// Input iterator that reports its position to a line counter.
 class counting_iterator {
 public:
   using iterator_category = std::input_iterator_tag;
@@ -42,7 +42,7 @@
   reference operator*() const { return *Position; }
   counting_iterator &operator++() {
     ++Position;
-    Lines->consumed(Position);
+    Lines->setConsumed(Position);
     return *this;
   }
   friend bool operator==(const counting_iterator &Left, const counting_iterator &Right) {
--- a/src/yuccaplank/wire/peer_link.cpp
+++ b/src/yuccaplank/wire/peer_link.cpp
@@ -22,42 +22,43 @@
 using runtime::errc;
 
 constexpr int ListenBacklog = 256;
-// Accepted connections that have not finished the handshake; bounds the memory that strangers can take.
-constexpr std::size_t MaxUnauthenticated = 256;
+// Limit for accepted connections that have not completed the handshake. It bounds the memory that
+// unauthenticated clients can take.
+constexpr std::size_t MaxUnauthenticatedConnections = 256;
 
-// No VM id begins like this.
+// Prefix of keys that hold an address instead of a VM id. No VM id begins with it.
 const std::string AddressKeyPrefix = "@";
 
-bool same(const schema::incarnation &Left, const schema::incarnation &Right) {
+bool isSameIncarnation(const schema::incarnation &Left, const schema::incarnation &Right) {
   return Left.vm() == Right.vm() && Left.started_ms() == Right.started_ms() && Left.nonce() == Right.nonce();
 }
 
-// State per remote VM. The connections belong to one incarnation, usually there is one; two arise when both
-// VMs connect at the same time. Each end then keeps sending on the connection that it authenticated first,
-// so that neither order nor messages are lost.
+// State of one remote VM. All its connections belong to the same incarnation. Usually there is one; if both
+// VMs connect at the same time, there are two. Each side then keeps sending on the connection that it
+// authenticated first, so that no envelope is lost or reordered.
 struct peer_state {
   schema::incarnation Incarnation;
   std::set<peer_connection *> Connections;
-  peer_connection *Active = nullptr;
-  // Frames that wait for a connection.
-  std::deque<std::string> Waiting;
+  peer_connection *ActiveConnection = nullptr;
+  // Encoded envelopes that wait for a connection.
+  std::deque<std::string> WaitingFrames;
   std::size_t WaitingBytes = 0;
   bool Connecting = false;
 
   void sendWaiting(peer_connection &Connection) {
-    for (const std::string &Frame : Waiting)
+    for (const std::string &Frame : WaitingFrames)
       Connection.send(Frame);
-    dropWaiting();
+    clearWaiting();
   }
-  void dropWaiting() {
-    Waiting.clear();
+  void clearWaiting() {
+    WaitingFrames.clear();
     WaitingBytes = 0;
   }
 };
 
 struct connection_entry {
   std::unique_ptr<peer_connection> Connection;
-  // Key of the peer for which it was opened; empty when it was accepted.
+  // Key in Peers of the peer that the connection was opened to; empty for an accepted connection.
   std::string Key;
 };
 
@@ -97,20 +98,21 @@
     }
     std::string Key = peerKey(Vm, Address);
     peer_state &Peer = Peers[Key];
-    std::size_t Queued = Peer.Active != nullptr ? Peer.Active->queuedBytes() : Peer.WaitingBytes;
+    std::size_t Queued =
+        Peer.ActiveConnection != nullptr ? Peer.ActiveConnection->queuedBytes() : Peer.WaitingBytes;
     if (Queued + Frame.size() > Options.MaxQueuedBytes) {
       logPeer("peer_queue_full", Vm, errc::QueueFull);
-      if (Peer.Active != nullptr)
-        Peer.Active->close(errc::QueueFull);
+      if (Peer.ActiveConnection != nullptr)
+        Peer.ActiveConnection->close(errc::QueueFull);
       return errc::QueueFull;
     }
     ++Totals.MessagesSent;
-    if (Peer.Active != nullptr) {
-      Peer.Active->send(Frame);
+    if (Peer.ActiveConnection != nullptr) {
+      Peer.ActiveConnection->send(Frame);
       return {};
     }
     Peer.WaitingBytes += Frame.size();
-    Peer.Waiting.push_back(std::move(Frame));
+    Peer.WaitingFrames.push_back(std::move(Frame));
     if (!Peer.Connecting)
       connect(Key, Address, Peer);
     return {};
@@ -120,15 +122,15 @@
     auto Found = Peers.find(Vm);
     if (Found == Peers.end())
       return;
-    Found->second.dropWaiting();
-    closeAll(Found->second, errc::PeerUnreachable);
+    Found->second.clearWaiting();
+    closeConnections(Found->second, errc::PeerUnreachable);
   }
 
   [[nodiscard]] std::uint16_t port() const override { return Port; }
   [[nodiscard]] counters totals() const override { return Totals; }
 
 private:
-  void later(std::function<void()> Function) {
+  void postGuarded(std::function<void()> Function) {
     Loop.post([Alive = Alive, Function = std::move(Function)] {
       if (*Alive)
         Function();
@@ -155,13 +157,13 @@
     return Result;
   }
 
-  // Peers whose id is not known before their hello are kept under their address until then.
+  // Returns the key of a peer in Peers: its id or, while the id is unknown, its address with a prefix.
   std::string peerKey(const std::string &Vm, const std::string &Address) const {
     if (!Vm.empty())
       return Vm;
-    auto Known = VmsByAddress.find(Address);
-    if (Known != VmsByAddress.end() && Peers.at(Known->second).Active != nullptr)
-      return Known->second;
+    auto Found = VmsByAddress.find(Address);
+    if (Found != VmsByAddress.end() && Peers.at(Found->second).ActiveConnection != nullptr)
+      return Found->second;
     return AddressKeyPrefix + Address;
   }
 
@@ -172,20 +174,20 @@
       Connection.Vm = Key;
     Connection.Address = Address;
     std::uint64_t Id = Connection.Id;
-    auto Started = connectPeer(Loop, *this, std::move(Connection));
-    if (Started)
-      Connections.emplace(Id, connection_entry{std::move(Started.value()), Key});
+    auto NewConnection = connectPeer(Loop, *this, std::move(Connection));
+    if (NewConnection)
+      Connections.emplace(Id, connection_entry{std::move(NewConnection.value()), Key});
     else
-      later([this, Key, Address] { connectEnded(Key, Address, errc::ConnectFailed); });
+      postGuarded([this, Key, Address] { handleConnectFailure(Key, Address, errc::ConnectFailed); });
   }
 
-  void connectEnded(const std::string &Key, const std::string &Address, errc Reason) {
+  void handleConnectFailure(const std::string &Key, const std::string &Address, errc Reason) {
     peer_state &Peer = Peers[Key];
     Peer.Connecting = false;
-    // The peer may have connected meanwhile.
-    if (Peer.Active != nullptr)
+    // The peer may have connected to this VM in the meantime.
+    if (Peer.ActiveConnection != nullptr)
       return;
-    Peer.dropWaiting();
+    Peer.clearWaiting();
     if (Handlers.OnConnectFailed)
       Handlers.OnConnectFailed(Address, Reason);
   }
@@ -194,7 +196,7 @@
     while (h2o_socket_t *Socket = h2o_evloop_socket_accept(Listener)) {
       auto Unauthenticated = std::ranges::count_if(
           Connections, [](const auto &Item) { return !Item.second.Connection->authenticated(); });
-      if (static_cast<std::size_t>(Unauthenticated) >= MaxUnauthenticated) {
+      if (static_cast<std::size_t>(Unauthenticated) >= MaxUnauthenticatedConnections) {
         logPeer("peer_refused", "", errc::TooManyConnections);
         h2o_socket_close(Socket);
         continue;
@@ -208,20 +210,20 @@
   void onAuthenticated(peer_connection &Connection) override {
     std::string Vm = Connection.vm();
     peer_state &Peer = Peers[Vm];
-    // The VM has restarted: its former incarnation has no use for its connections.
-    if (!Peer.Connections.empty() && !same(Peer.Incarnation, Connection.peer()))
-      closeAll(Peer, errc::ConnectionLost);
+    // The VM has restarted, so the connections of its previous incarnation are obsolete.
+    if (!Peer.Connections.empty() && !isSameIncarnation(Peer.Incarnation, Connection.peer()))
+      closeConnections(Peer, errc::ConnectionLost);
     Peer.Incarnation = Connection.peer();
     Peer.Connections.insert(&Connection);
-    if (Peer.Active == nullptr)
-      Peer.Active = &Connection;
-    Peer.sendWaiting(*Peer.Active);
+    if (Peer.ActiveConnection == nullptr)
+      Peer.ActiveConnection = &Connection;
+    Peer.sendWaiting(*Peer.ActiveConnection);
     if (Connection.address().empty())
       return;
     VmsByAddress[Connection.address()] = Vm;
     peer_state &Origin = Peers[Connections.at(Connection.id()).Key];
     Origin.Connecting = false;
-    Origin.sendWaiting(*Peer.Active);
+    Origin.sendWaiting(*Peer.ActiveConnection);
   }
 
   void onEnvelope(peer_connection &Connection, schema::envelope Message) override {
@@ -236,23 +238,24 @@
                  {{"peer", Vm},
                   {"authenticated", Connection.authenticated()},
                   {"reason", std::string(runtime::errcName(Reason))}});
-    later([this, Id = Connection.id()] { Connections.erase(Id); });
+    postGuarded([this, Id = Connection.id()] { Connections.erase(Id); });
     auto Found = Peers.find(Vm);
     if (Found != Peers.end() && Found->second.Connections.erase(&Connection) > 0)
-      closedAuthenticated(Found->second, Connection, Reason);
+      onAuthenticatedClosed(Found->second, Connection, Reason);
     else if (!Connection.address().empty())
-      later([this, Key = Connections.at(Connection.id()).Key, Address = Connection.address(), Reason] {
-        connectEnded(Key, Address, Reason);
+      postGuarded([this, Key = Connections.at(Connection.id()).Key, Address = Connection.address(), Reason] {
+        handleConnectFailure(Key, Address, Reason);
       });
   }
 
-  // Messages may be lost with any connection to an incarnation, so all of them end with the first.
-  void closedAuthenticated(peer_state &Peer, peer_connection &Connection, errc Reason) {
-    if (Peer.Active == &Connection)
-      Peer.Active = nullptr;
+  // The loss of any connection may lose envelopes, so all connections to the incarnation are closed: each
+  // close() leads here again. The last one is reported.
+  void onAuthenticatedClosed(peer_state &Peer, peer_connection &Connection, errc Reason) {
+    if (Peer.ActiveConnection == &Connection)
+      Peer.ActiveConnection = nullptr;
     if (!Peer.Connections.empty())
       return (*Peer.Connections.begin())->close(Reason);
-    later([this, Incarnation = Connection.peer()] {
+    postGuarded([this, Incarnation = Connection.peer()] {
       if (Handlers.OnClosed)
         Handlers.OnClosed(Incarnation);
     });
@@ -261,7 +264,7 @@
   void countReceived(std::size_t Bytes) override { Totals.BytesReceived += Bytes; }
   void countSent(std::size_t Bytes) override { Totals.BytesSent += Bytes; }
 
-  static void closeAll(peer_state &Peer, errc Reason) {
+  static void closeConnections(peer_state &Peer, errc Reason) {
     if (!Peer.Connections.empty())
       (*Peer.Connections.begin())->close(Reason);
   }
@@ -283,7 +286,7 @@
 
 runtime::result<std::unique_ptr<peer_transport>>
 makePeerTransport(runtime::loop &Loop, peer_transport_options Options, peer_transport_handlers Handlers) {
-  // With an empty key every proof could be computed by anyone.
+  // With an empty key, anyone could compute a valid proof.
   if (Options.Key.empty())
     return errc::MissingField;
   auto Transport = std::make_unique<transport_impl>(Loop, std::move(Options), std::move(Handlers));
--- a/src/yuccaplank/wire/peer_protocol.cpp
+++ b/src/yuccaplank/wire/peer_protocol.cpp
@@ -16,11 +16,12 @@
 using runtime::errc;
 
 constexpr std::string_view ProofLabel = "yuccaplank peer proof 1";
-// A hello holds two names, a nonce and two numbers; anything larger is not worth buffering for a stranger.
+// A hello consists of two names, a nonce and two numbers. Nothing larger is buffered before authentication.
 constexpr std::size_t MaxHandshakeBytes = 1024;
 constexpr std::size_t MaxLengthBytes = 5;
-// Consumed input is discarded from this size on, so that small envelopes do not each move the buffer.
-constexpr std::size_t CompactBytes = 64 * 1024;
+// Consumed input is discarded once it reaches this size, so that the buffer is not moved for each small
+// envelope.
+constexpr std::size_t MinCompactBytes = 64 * 1024;
 
 void appendField(std::string &Text, std::string_view Field) {
   std::uint64_t Size = Field.size();
@@ -45,8 +46,8 @@
   return Role == peer_role::Client ? peer_role::Server : peer_role::Client;
 }
 
-// By default the library writes a line of plain text to standard error for every malformed string, as often
-// as a stranger sends one.
+// By default protobuf writes a line of plain text to standard error for each malformed string, so that any
+// client could flood the log.
 void redirectProtobufLog() {
   static const auto Previous = google::protobuf::SetLogHandler(
       [](google::protobuf::LogLevel, const char *, int, const std::string &Text) {
@@ -74,26 +75,26 @@
   *Hello->mutable_self() = Options.Self;
   Hello->set_domain(Options.Domain);
   Hello->set_nonce(Options.Nonce);
-  OwnHello = Message.SerializeAsString();
+  LocalHelloBytes = Message.SerializeAsString();
 }
 
-std::string peer_protocol::hello() const {
-  // The proof covers exactly these bytes, so they are not serialized a second time.
+std::string peer_protocol::helloFrame() const {
+  // The proof covers exactly these bytes, so the hello must not be serialized a second time.
   std::string Frame;
   google::protobuf::io::StringOutputStream Stream(&Frame);
   google::protobuf::io::CodedOutputStream Coded(&Stream);
-  Coded.WriteVarint32(static_cast<std::uint32_t>(OwnHello.size()));
-  Coded.WriteString(OwnHello);
+  Coded.WriteVarint32(static_cast<std::uint32_t>(LocalHelloBytes.size()));
+  Coded.WriteString(LocalHelloBytes);
   Coded.Trim();
   return Frame;
 }
 
 void peer_protocol::feed(std::string_view Data) {
-  compact();
+  compactInput();
   Input.append(Data);
 }
 
-std::string peer_protocol::takeReply() { return std::exchange(Reply, {}); }
+std::string peer_protocol::takeHandshakeOutput() { return std::exchange(Reply, {}); }
 
 runtime::result<std::optional<schema::envelope>> peer_protocol::next() {
   while (true) {
@@ -103,7 +104,7 @@
     if (!Frame.value())
       return std::optional<schema::envelope>();
     std::string_view Body =
-        std::string_view(Input).substr(Consumed + Frame.value()->HeaderBytes, Frame.value()->BodyBytes);
+        std::string_view(Input).substr(ConsumedBytes + Frame.value()->HeaderBytes, Frame.value()->BodyBytes);
     schema::envelope Message;
     if (!Message.ParseFromArray(Body.data(), static_cast<int>(Body.size())))
       return errc::MalformedDocument;
@@ -114,8 +115,8 @@
     } else if (Message.has_hello() || Message.has_hello_proof()) {
       return errc::MalformedDocument;
     }
-    Consumed += Frame.value()->HeaderBytes + Frame.value()->BodyBytes;
-    // Envelopes of a kind that this version does not know are skipped, so that versions can be mixed.
+    ConsumedBytes += Frame.value()->HeaderBytes + Frame.value()->BodyBytes;
+    // Envelopes of an unknown type are skipped, so that VMs of different versions can communicate.
     if (!InHandshake && Message.body_case() != schema::envelope::BODY_NOT_SET)
       return std::optional<schema::envelope>(std::move(Message));
   }
@@ -125,11 +126,11 @@
   frame Frame;
   std::uint64_t Size = 0;
   while (true) {
-    if (Consumed + Frame.HeaderBytes == Input.size())
+    if (ConsumedBytes + Frame.HeaderBytes == Input.size())
       return std::optional<frame>();
     if (Frame.HeaderBytes == MaxLengthBytes)
       return errc::MalformedDocument;
-    auto Byte = static_cast<unsigned char>(Input[Consumed + Frame.HeaderBytes]);
+    auto Byte = static_cast<unsigned char>(Input[ConsumedBytes + Frame.HeaderBytes]);
     Size |= static_cast<std::uint64_t>(Byte & 0x7FU) << (7 * Frame.HeaderBytes++);
     if (Byte < 0x80U)
       break;
@@ -137,7 +138,7 @@
   if (Size > (Authenticated ? Options.MaxEnvelopeBytes : MaxHandshakeBytes))
     return errc::BodyTooLarge;
   Frame.BodyBytes = Size;
-  if (Input.size() - Consumed - Frame.HeaderBytes < Frame.BodyBytes)
+  if (Input.size() - ConsumedBytes - Frame.HeaderBytes < Frame.BodyBytes)
     return std::optional<frame>();
   return std::optional<frame>(Frame);
 }
@@ -147,7 +148,7 @@
     return onHello(Message.hello(), Body);
   if (!Peer || !Message.has_hello_proof())
     return errc::PeerRejected;
-  if (!equalInConstantTime(Message.hello_proof().hmac(), proof(otherRole(Options.Role))))
+  if (!equalInConstantTime(Message.hello_proof().hmac(), computeProof(otherRole(Options.Role))))
     return errc::PeerRejected;
   Authenticated = true;
   return runtime::result<void>(BOOST_OUTCOME_V2_NAMESPACE::in_place_type<void>);
@@ -159,30 +160,31 @@
   if (!Valid)
     return errc::PeerRejected;
   Peer = Hello;
-  PeerHello = Body;
+  PeerHelloBytes = Body;
   schema::envelope Answer;
-  Answer.mutable_hello_proof()->set_hmac(proof(Options.Role));
+  Answer.mutable_hello_proof()->set_hmac(computeProof(Options.Role));
   Reply += encodeEnvelope(Answer);
   return runtime::result<void>(BOOST_OUTCOME_V2_NAMESPACE::in_place_type<void>);
 }
 
-// The role keeps a proof from being reflected to its sender; the hellos bind nonces and incarnations.
-std::string peer_protocol::proof(peer_role Prover) const {
+// The role prevents a proof from being reflected to its sender. The hellos bind the proof to the nonces and
+// the incarnations.
+std::string peer_protocol::computeProof(peer_role Prover) const {
   bool IsClient = Options.Role == peer_role::Client;
   std::string Text;
   appendField(Text, ProofLabel);
   appendField(Text, Prover == peer_role::Client ? "client" : "server");
-  appendField(Text, IsClient ? OwnHello : PeerHello);
-  appendField(Text, IsClient ? PeerHello : OwnHello);
+  appendField(Text, IsClient ? LocalHelloBytes : PeerHelloBytes);
+  appendField(Text, IsClient ? PeerHelloBytes : LocalHelloBytes);
   return hmacSha256(Options.Key, Text);
 }
 
-void peer_protocol::compact() {
-  if (Consumed != Input.size() && Consumed < CompactBytes)
+void peer_protocol::compactInput() {
+  if (ConsumedBytes != Input.size() && ConsumedBytes < MinCompactBytes)
     return;
-  Input.erase(0, Consumed);
-  Consumed = 0;
-  if (Input.empty() && Input.capacity() > CompactBytes)
+  Input.erase(0, ConsumedBytes);
+  ConsumedBytes = 0;
+  if (Input.empty() && Input.capacity() > MinCompactBytes)
     Input.shrink_to_fit();
 }
 
--- a/src/yuccaplank/wire/peer_protocol.hpp
+++ b/src/yuccaplank/wire/peer_protocol.hpp
@@ -1,4 +1,4 @@
-// Framing and handshake of a peer connection, independent of its transport.
+// Framing and handshake of a peer connection, independent of the underlying transport.
 #pragma once
 
 #include "peer.pb.h"
@@ -22,33 +22,34 @@
   std::string Key;
   schema::incarnation Self;
   std::string Domain;
-  /// Fresh random bytes for each connection, PeerNonceBytes of them.
+  /// PeerNonceBytes random bytes, newly generated for each connection.
   std::string Nonce;
   std::size_t MaxEnvelopeBytes = 0;
 };
 
-/// Length-delimited form of an envelope.
+/// Encodes an envelope with its length as prefix.
 std::string encodeEnvelope(const schema::envelope &Message);
 
-/// One end of a connection. Both ends send their hello at once, answer the other's hello with a proof, and
-/// count as authenticated when the other's proof is right. A proof is HMAC-SHA-256 with the shared key over
-/// the role of its sender and the hellos of client and server.
+/// One side of a connection. Both sides send their hello immediately and answer the other side's hello with a
+/// proof. Each side considers the other one authenticated once it has verified the other side's proof. A
+/// proof is an HMAC-SHA-256 with the shared key over the sender's role, the client's hello and the server's
+/// hello.
 class peer_protocol {
 public:
   explicit peer_protocol(peer_protocol_options Options);
 
-  /// Frame that opens the handshake.
-  [[nodiscard]] std::string hello() const;
-  /// Appends received bytes.
+  /// Returns the encoded hello, which starts the handshake.
+  [[nodiscard]] std::string helloFrame() const;
+  /// Adds received bytes to the input.
   void feed(std::string_view Data);
-  /// Next envelope of the authenticated peer, or nothing when more bytes are needed. Handshake messages are
-  /// consumed here. After an error the connection has to be closed: errc::PeerRejected when authentication
-  /// failed, errc::BodyTooLarge, or errc::MalformedDocument.
+  /// Returns the next envelope of the authenticated peer, or nothing if more input is needed. Handshake
+  /// messages are processed here. After an error the connection must be closed: errc::PeerRejected if
+  /// authentication failed, errc::BodyTooLarge, or errc::MalformedDocument.
   runtime::result<std::optional<schema::envelope>> next();
-  /// Handshake bytes that have to be sent.
-  std::string takeReply();
+  /// Returns and clears the handshake bytes that have to be sent.
+  std::string takeHandshakeOutput();
   [[nodiscard]] bool authenticated() const { return Authenticated; }
-  /// Claims of the peer, once its hello has arrived; proven only when authenticated.
+  /// The peer's hello, once received; proved only if authenticated() is true.
   [[nodiscard]] const std::optional<schema::hello> &peer() const { return Peer; }
 
 private:
@@ -59,16 +60,16 @@
   [[nodiscard]] runtime::result<std::optional<frame>> nextFrame() const;
   runtime::result<void> onHandshake(const schema::envelope &Message, std::string_view Body);
   runtime::result<void> onHello(const schema::hello &Hello, std::string_view Body);
-  [[nodiscard]] std::string proof(peer_role Prover) const;
-  void compact();
+  [[nodiscard]] std::string computeProof(peer_role Prover) const;
+  void compactInput();
 
   peer_protocol_options Options;
-  std::string OwnHello;
-  std::string PeerHello;
+  std::string LocalHelloBytes;
+  std::string PeerHelloBytes;
   std::optional<schema::hello> Peer;
   bool Authenticated = false;
   std::string Input;
-  std::size_t Consumed = 0;
+  std::size_t ConsumedBytes = 0;
   std::string Reply;
 };
 
