--- a/src/yuccaplank/cli/arguments.cpp
+++ b/src/yuccaplank/cli/arguments.cpp
@@ -14,10 +14,10 @@
 
 namespace po = boost::program_options;
 
-// Longest accepted time; larger numbers would overflow the clock.
-constexpr double MaxSeconds = 86'400;
+// Longest accepted timeout or wait; larger numbers would overflow the clock.
+constexpr double MaxDurationS = 86'400;
 
-po::options_description globalOptions() {
+po::options_description makeGlobalOptions() {
   po::options_description Options("Global options");
   Options.add_options()("entry", po::value<std::string>()->value_name("IP:PORT[,...]"),
                         "entry VMs; default: environment YUCCAPLANK_ENTRY");
@@ -30,13 +30,13 @@
   return Options;
 }
 
-po::options_description commandOptions(const command &Command) {
+po::options_description makeCommandOptions(const command &Command) {
   po::options_description Options("Options");
-  Command.Declare(Options);
+  Command.DeclareOptions(Options);
   return Options;
 }
 
-std::vector<std::string> words(std::string_view Text) {
+std::vector<std::string> splitWords(std::string_view Text) {
   std::vector<std::string> Words;
   std::istringstream Stream{std::string(Text)};
   for (std::string Word; Stream >> Word;)
@@ -44,16 +44,17 @@
   return Words;
 }
 
-// Arguments in two parts: the words that may name the command, and all others in their order.
+// Arguments in two parts: the options that precede the command, and the command with all that follows it.
 struct split_arguments {
   std::vector<std::string> Leading;
   std::vector<std::string> Rest;
 };
 
-// Global options may stand before the command. An option's value is not mistaken for the command.
+// Separates the options that precede the command together with their values, so that a value is not mistaken
+// for the command.
 split_arguments splitArguments(const std::vector<std::string> &Arguments) {
   split_arguments Split;
-  po::options_description Globals = globalOptions();
+  po::options_description Globals = makeGlobalOptions();
   std::size_t Index = 0;
   while (Index < Arguments.size() && Arguments[Index].starts_with("--")) {
     std::string Name = Arguments[Index].substr(2);
@@ -67,10 +68,10 @@
   return Split;
 }
 
-// Removes the words of the command from Rest.
-const command *takeCommand(std::vector<std::string> &Rest) {
+// Finds the command that Rest begins with, and removes its words from Rest. Returns null if there is none.
+const command *extractCommand(std::vector<std::string> &Rest) {
   for (const command &Command : commandTable()) {
-    std::vector<std::string> Names = words(Command.Name);
+    std::vector<std::string> Names = splitWords(Command.Name);
     if (Rest.size() < Names.size() || !std::equal(Names.begin(), Names.end(), Rest.begin()))
       continue;
     Rest.erase(Rest.begin(), Rest.begin() + static_cast<std::ptrdiff_t>(Names.size()));
@@ -79,26 +80,26 @@
   return nullptr;
 }
 
-std::string unknownCommand(const std::vector<std::string> &Rest) {
+std::string describeUnknownCommand(const std::vector<std::string> &Rest) {
   if (Rest.empty())
     return "a command is missing.";
   for (const command &Command : commandTable())
-    if (words(Command.Name).size() == 2 && words(Command.Name).front() == Rest.front())
+    if (splitWords(Command.Name).size() == 2 && splitWords(Command.Name).front() == Rest.front())
       return Rest.size() == 1 ? fmt::format("'{}' needs a second word.", Rest[0])
                               : fmt::format("there is no command '{} {}'.", Rest[0], Rest[1]);
   return fmt::format("there is no command '{}'.", Rest.front());
 }
 
-std::string optionOrEnvironment(const po::variables_map &Options, const std::string &Name,
-                                const environment &Environment) {
+std::string readOptionOrEnvironment(const po::variables_map &Options, const std::string &Name,
+                                    const environment &Environment) {
   if (Options.contains(Name))
     return Options[Name].as<std::string>();
   return Environment("YUCCAPLANK_" + boost::to_upper_copy(Name));
 }
 
-// Each check returns a sentence, or nothing.
+// Each of the following checks returns an error message, or an empty string when the check passes.
 std::string checkPositionals(const invocation &Invocation) {
-  for (const std::string &Name : words(Invocation.Command->Positionals))
+  for (const std::string &Name : splitWords(Invocation.Command->Positionals))
     if (!Invocation.Options.contains(Name))
       return fmt::format("'{}' needs {}.", Invocation.Command->Name, Name);
   return {};
@@ -124,18 +125,18 @@
   return {};
 }
 
-std::string checkTimes(const invocation &Invocation) {
+std::string checkDurations(const invocation &Invocation) {
   for (const std::string Name : {"timeout", "wait"}) {
     const auto *Seconds = boost::any_cast<double>(&Invocation.Options[Name].value());
-    double Least = Name == "timeout" ? 1e-3 : 0;
-    if (Seconds && !(*Seconds >= Least && *Seconds <= MaxSeconds))
-      return fmt::format("--{} must be {} to {} seconds.", Name, Least, MaxSeconds);
+    double Minimum = Name == "timeout" ? 1e-3 : 0;
+    if (Seconds && !(*Seconds >= Minimum && *Seconds <= MaxDurationS))
+      return fmt::format("--{} must be {} to {} seconds.", Name, Minimum, MaxDurationS);
   }
   return {};
 }
 
 std::string checkInvocation(const invocation &Invocation) {
-  for (auto *Check : {checkPositionals, checkTarget, checkTimes})
+  for (auto *Check : {checkPositionals, checkTarget, checkDurations})
     if (std::string Message = Check(Invocation); !Message.empty())
       return Message;
   return {};
@@ -146,23 +147,23 @@
     boost::split(Addresses, Text, boost::is_any_of(","));
 }
 
-void fillGlobal(invocation &Invocation, const environment &Environment) {
+void readGlobalOptions(invocation &Invocation, const environment &Environment) {
   const po::variables_map &Options = Invocation.Options;
   global_options &Global = Invocation.Global;
-  splitAddresses(optionOrEnvironment(Options, "entry", Environment), Global.Entries);
-  splitAddresses(optionOrEnvironment(Options, "operator", Environment), Global.Operators);
+  splitAddresses(readOptionOrEnvironment(Options, "entry", Environment), Global.Entries);
+  splitAddresses(readOptionOrEnvironment(Options, "operator", Environment), Global.Operators);
   Global.Json = Options["json"].as<bool>();
   double Seconds = Options["timeout"].as<double>();
-  if (std::isfinite(Seconds) && Seconds <= MaxSeconds)
+  if (std::isfinite(Seconds) && Seconds <= MaxDurationS)
     Global.Timeout = runtime::fromMs(Seconds * 1000);
 }
 
 parsed_arguments parseCommand(const command &Command, const std::vector<std::string> &Arguments,
                               const environment &Environment) {
   po::options_description All;
-  All.add(globalOptions()).add(commandOptions(Command));
+  All.add(makeGlobalOptions()).add(makeCommandOptions(Command));
   po::positional_options_description Positions;
-  for (const std::string &Name : words(Command.Positionals)) {
+  for (const std::string &Name : splitWords(Command.Positionals)) {
     All.add_options()(Name.c_str(), po::value<std::string>());
     Positions.add(Name.c_str(), 1);
   }
@@ -174,7 +175,7 @@
   if (Invocation.Options["help"].as<bool>())
     return help_request{&Command};
   po::notify(Invocation.Options);
-  fillGlobal(Invocation, Environment);
+  readGlobalOptions(Invocation, Environment);
   if (std::string Message = checkInvocation(Invocation); !Message.empty())
     return usage_error{Message, &Command};
   return Invocation;
@@ -182,20 +183,20 @@
 
 } // namespace
 
-std::string invocation::text(const std::string &Name) const {
+std::string invocation::stringOption(const std::string &Name) const {
   return Options.contains(Name) ? Options[Name].as<std::string>() : std::string();
 }
 
 parsed_arguments parseArguments(const std::vector<std::string> &Arguments, const environment &Environment) {
   split_arguments Split = splitArguments(Arguments);
-  const command *Command = takeCommand(Split.Rest);
+  const command *Command = extractCommand(Split.Rest);
   std::vector<std::string> All = Split.Leading;
   All.insert(All.end(), Split.Rest.begin(), Split.Rest.end());
   if (!Command) {
     for (const std::string &Argument : All)
       if (Argument == "--help")
         return help_request{};
-    return usage_error{unknownCommand(Split.Rest), nullptr};
+    return usage_error{describeUnknownCommand(Split.Rest), nullptr};
   }
   try {
     return parseCommand(*Command, All, Environment);
@@ -204,13 +205,13 @@
   }
 }
 
-std::string helpText(const command *Command) {
+std::string formatHelp(const command *Command) {
   std::ostringstream Text;
   if (!Command) {
     Text << "Usage: yuccaplank COMMAND [arguments] [options]\n\nCommands:\n";
     for (const command &Entry : commandTable())
       Text << fmt::format("  {:<18}{}\n", Entry.Name, Entry.Summary);
-    Text << "\n" << globalOptions();
+    Text << "\n" << makeGlobalOptions();
     Text << "\nExit status: 0 done, 1 other error, 2 usage, 3 failed (may have run), 4 refused (not run),\n"
             "5 outcome unknown.\n";
     return Text.str();
@@ -218,10 +219,10 @@
   std::string Separator = Command->Positionals.empty() ? "" : " ";
   Text << fmt::format("Usage: yuccaplank {}{}{} [options]\n\n{}\n\n", Command->Name, Separator,
                       Command->Positionals, Command->Summary);
-  po::options_description Own = commandOptions(*Command);
-  if (!Own.options().empty())
-    Text << Own << "\n";
-  Text << globalOptions() << "\nExamples:\n";
+  po::options_description CommandOptions = makeCommandOptions(*Command);
+  if (!CommandOptions.options().empty())
+    Text << CommandOptions << "\n";
+  Text << makeGlobalOptions() << "\nExamples:\n";
   std::istringstream Examples{std::string(Command->Examples)};
   for (std::string Line; std::getline(Examples, Line);)
     Text << "  " << Line << "\n";
--- a/src/yuccaplank/cli/arguments.hpp
+++ b/src/yuccaplank/cli/arguments.hpp
@@ -1,4 +1,4 @@
-// Global options and their sources: command line first, then the environment.
+// Parses the command line. The environment provides the addresses that the command line does not give.
 #pragma once
 
 #include "yuccaplank/runtime/clock.hpp"
@@ -15,10 +15,10 @@
 
 namespace yuccaplank::cli {
 
-/// Value of an environment variable; empty when unset.
+/// Returns the value of an environment variable, or an empty string when it is unset.
 using environment = std::function<std::string(const std::string &Name)>;
 
-/// Options of every command, from the command line or the environment.
+/// Options that every command accepts.
 struct global_options {
   /// "ip:port" of entry VMs.
   std::vector<std::string> Entries;
@@ -36,29 +36,29 @@
   global_options Global;
   boost::program_options::variables_map Options;
 
-  [[nodiscard]] bool flag(const std::string &Name) const { return Options[Name].as<bool>(); }
-  /// Value of a text option; empty when it was not given.
-  [[nodiscard]] std::string text(const std::string &Name) const;
+  [[nodiscard]] bool boolOption(const std::string &Name) const { return Options[Name].as<bool>(); }
+  /// Returns the value of a string option or positional argument; empty when it was not given.
+  [[nodiscard]] std::string stringOption(const std::string &Name) const;
 };
 
-/// A wrong command line, with a sentence that says what is wrong.
+/// Error in the command line, with a message for the user.
 struct usage_error {
   std::string Message;
   /// Command that was recognized, if any.
   const command *Command = nullptr;
 };
 
-/// Request for help; Command is null for the overview.
+/// Request for help. Command is null when the help concerns the whole program.
 struct help_request {
   const command *Command = nullptr;
 };
 
 using parsed_arguments = std::variant<invocation, usage_error, help_request>;
 
-/// Arguments without the program's name.
+/// Parses the arguments without the program's name.
 parsed_arguments parseArguments(const std::vector<std::string> &Arguments, const environment &Environment);
 
-/// Text of "--help".
-std::string helpText(const command *Command);
+/// Returns the text that "--help" prints. Command is null for the list of all commands.
+std::string formatHelp(const command *Command);
 
 } // namespace yuccaplank::cli
--- a/src/yuccaplank/cli/arguments_test.cpp
+++ b/src/yuccaplank/cli/arguments_test.cpp
@@ -12,11 +12,12 @@
 
 std::string noEnvironment(const std::string & /*Name*/) { return {}; }
 
-// Guards against a wrong command line that is run, or that ends with a status other than 2.
-const test_case UsageErrors("cli: usage errors end with status 2", [] {
+// Guards against a command that runs although its command line is wrong, for example because a misspelled
+// option is ignored, and against an exit status other than 2 in such a case.
+const test_case UsageErrors("cli: usage errors end with exit status 2 and send no request", [] {
   cli_run Run([](const wire::http_call &) { return testing::refusedConnection(); });
   Run.Files["job.json"] = "{}";
-  const std::vector<std::vector<std::string>> Wrong = {
+  const std::vector<std::vector<std::string>> WrongCommandLines = {
       {},
       {"nonsense"},
       {"report"},
@@ -42,7 +43,7 @@
       {"vms"},
       {"vms", "--operator", "[::1]"},
   };
-  for (const auto &Arguments : Wrong) {
+  for (const auto &Arguments : WrongCommandLines) {
     std::string Line = "arguments:";
     for (const std::string &Argument : Arguments)
       Line += " " + Argument;
@@ -53,9 +54,10 @@
   CPPUNIT_ASSERT(Run.Client.Calls.empty());
 });
 
-// Guards against options that are ignored or mistaken for the command.
-const test_case Parsing("cli: argument parsing", [] {
-  if (auto Given = section("given global options before the command")) {
+// Guards against options that are ignored, and against option values that are taken for the command because
+// they precede it.
+const test_case Parsing("cli: options are read from the command line and the environment", [] {
+  if (auto Given = section("given global options that precede the command")) {
     auto Parsed = parseArguments(
         {"--entry", "127.0.0.1:1,[::1]:2", "--json", "--timeout=1.5", "waiting", "ID1"}, noEnvironment);
     const auto &Invocation = std::get<invocation>(Parsed);
@@ -63,9 +65,9 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), Invocation.Global.Entries.size());
     CPPUNIT_ASSERT(Invocation.Global.Json);
     CPPUNIT_ASSERT(Invocation.Global.Timeout == 1500ms);
-    CPPUNIT_ASSERT_EQUAL(std::string("ID1"), Invocation.text("QUEUE"));
+    CPPUNIT_ASSERT_EQUAL(std::string("ID1"), Invocation.stringOption("QUEUE"));
   }
-  if (auto Given = section("given addresses in the environment")) {
+  if (auto Given = section("given addresses in the environment, the command line takes precedence")) {
     auto Environment = [](const std::string &Name) {
       return Name == "YUCCAPLANK_ENTRY" ? std::string("127.0.0.1:1") : std::string("value");
     };
@@ -75,9 +77,9 @@
     const auto &Invocation = std::get<invocation>(Parsed);
     CPPUNIT_ASSERT_EQUAL(std::string("127.0.0.1:9"), Invocation.Global.Entries.at(0));
     CPPUNIT_ASSERT_EQUAL(std::string("127.0.0.1:2"), Invocation.Global.Operators.at(0));
-    CPPUNIT_ASSERT_EQUAL(std::string("-"), Invocation.text("FILE"));
+    CPPUNIT_ASSERT_EQUAL(std::string("-"), Invocation.stringOption("FILE"));
   }
-  if (auto Given = section("given a request for help")) {
+  if (auto Given = section("given --help, each command prints its usage examples")) {
     cli_run Run([](const wire::http_call &) { return testing::refusedConnection(); });
     for (const command &Command : commandTable()) {
       Run.Out.clear();
--- a/src/yuccaplank/cli/burn_report.cpp
+++ b/src/yuccaplank/cli/burn_report.cpp
@@ -20,7 +20,7 @@
 constexpr int PlotMargin = 30;
 constexpr int ValueWidth = 60;
 
-constexpr std::string_view PageHead =
+constexpr std::string_view HtmlHead =
     "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>Burn report</title>\n"
     "<style>body{font-family:sans-serif;margin:2em}table{border-collapse:collapse}"
     "td,th{border:1px solid #999;padding:.3em .6em;text-align:right}"
@@ -45,7 +45,7 @@
                           : fmt::format("{:g} min", Seconds / MinuteS);
 }
 
-std::vector<burn_row> makeRows(const std::vector<burn_line> &Lines) {
+std::vector<burn_row> formatRows(const std::vector<burn_line> &Lines) {
   std::vector<burn_row> Rows;
   Rows.reserve(Lines.size());
   for (const burn_line &Line : Lines)
@@ -56,13 +56,14 @@
   return Rows;
 }
 
-std::string silentText(const std::vector<std::string> &Silent) {
-  return Silent.empty() ? ""
-                        : fmt::format("Without the VMs that gave no answer: {}", fmt::join(Silent, ", "));
+std::string formatMissingVms(const std::vector<std::string> &MissingVms) {
+  return MissingVms.empty()
+             ? ""
+             : fmt::format("Not included, since they sent no report: {}", fmt::join(MissingVms, ", "));
 }
 
-// Fills in what follows from the counts.
-void rate(burn_line &Line) {
+// Computes the attained share, the burn rate and the remaining budget from the counts.
+void computeBurnRate(burn_line &Line) {
   constexpr double Percent = 100;
   double AllowedPercent = Percent - Line.ObjectivePercent;
   if (Line.Total == 0 || AllowedPercent <= 0)
@@ -72,7 +73,7 @@
   Line.BudgetLeftPercent = Percent * (1 - Line.BurnRate);
 }
 
-std::string htmlTable(const std::vector<burn_row> &Rows) {
+std::string formatHtmlTable(const std::vector<burn_row> &Rows) {
   std::string Text = "<table><tr><th>Queue</th><th>Window</th><th>Objective %</th><th>Good</th>"
                      "<th>Total</th><th>Attained %</th><th>Burn rate</th><th>Budget left %</th></tr>\n";
   for (const burn_row &Row : Rows)
@@ -84,12 +85,13 @@
   return Text + "</table>\n";
 }
 
-// One bar a line; a vertical rule marks burn rate 1, at which the budget is used up exactly.
-std::string svgPlot(const std::vector<burn_row> &Rows) {
-  double Greatest = 1;
+// Draws one bar for each row. A vertical line marks burn rate 1, at which the error budget is used up
+// exactly.
+std::string formatSvgPlot(const std::vector<burn_row> &Rows) {
+  double MaxBurnRate = 1;
   for (const burn_row &Row : Rows)
-    Greatest = std::max(Greatest, Row.BurnRate);
-  double Scale = BarAreaWidth / Greatest;
+    MaxBurnRate = std::max(MaxBurnRate, Row.BurnRate);
+  double Scale = BarAreaWidth / MaxBurnRate;
   int Height = static_cast<int>(Rows.size()) * RowHeight + PlotMargin;
   int Width = LabelWidth + BarAreaWidth + ValueWidth;
   std::string Text = fmt::format("<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"{}\" height=\"{}\" "
@@ -106,11 +108,11 @@
     Text += fmt::format("<text x=\"{:.1f}\" y=\"{}\">{:.2f}</text>\n", LabelWidth + Length + 5,
                         Top + BarHeight - 3, Row.BurnRate);
   }
-  double One = LabelWidth + Scale;
+  double BudgetLineX = LabelWidth + Scale;
   Text +=
       fmt::format("<line x1=\"{0:.1f}\" y1=\"20\" x2=\"{0:.1f}\" y2=\"{1}\" stroke=\"#333\" "
                   "stroke-dasharray=\"4 3\"/><text x=\"{0:.1f}\" y=\"14\" text-anchor=\"middle\">1</text>\n",
-                  One, Height);
+                  BudgetLineX, Height);
   return Text + "</svg>\n";
 }
 
@@ -118,39 +120,39 @@
 
 std::vector<burn_line> mergeBurn(const std::vector<schema::burn_counts> &Counts) {
   std::map<std::pair<std::string, std::uint32_t>, burn_line> Lines;
-  for (const schema::burn_counts &OfVm : Counts)
-    for (const schema::burn_queue &Queue : OfVm.queues())
+  for (const schema::burn_counts &VmCounts : Counts)
+    for (const schema::burn_queue &Queue : VmCounts.queues())
       for (const schema::burn_window &Window : Queue.windows()) {
         burn_line &Line = Lines[{Queue.queue(), Window.window_s()}];
         Line.Queue = Queue.queue();
         Line.WindowS = Window.window_s();
         if (Line.ObjectivePercent == 0)
-          Line.ObjectivePercent = OfVm.objective_percent();
+          Line.ObjectivePercent = VmCounts.objective_percent();
         Line.Good += Window.good();
         Line.Total += Window.total();
       }
   std::vector<burn_line> Result;
   for (auto &[Key, Line] : Lines) {
-    rate(Line);
+    computeBurnRate(Line);
     Result.push_back(std::move(Line));
   }
   return Result;
 }
 
-std::string formatBurnTable(const std::vector<burn_line> &Lines, const std::vector<std::string> &Silent) {
+std::string formatBurnTable(const std::vector<burn_line> &Lines, const std::vector<std::string> &MissingVms) {
   std::vector<std::vector<std::string>> Rows{
       {"QUEUE", "WINDOW", "OBJECTIVE %", "GOOD", "TOTAL", "ATTAINED %", "BURN RATE", "BUDGET LEFT %"}};
-  for (const burn_row &Row : makeRows(Lines))
+  for (const burn_row &Row : formatRows(Lines))
     Rows.push_back({Row.Queue, Row.Window, Row.Objective, Row.Good, Row.Total, Row.Attained,
                     fmt::format("{:.2f}", Row.BurnRate), Row.BudgetLeft});
-  std::string Text = silentText(Silent);
+  std::string Text = formatMissingVms(MissingVms);
   return formatTable(Rows) + (Text.empty() ? "" : Text + "\n");
 }
 
-std::string formatBurnHtml(const std::vector<burn_line> &Lines, const std::vector<std::string> &Silent) {
-  std::vector<burn_row> Rows = makeRows(Lines);
-  std::string Text = silentText(Silent);
-  return fmt::format("{}{}{}{}</body></html>\n", PageHead, svgPlot(Rows), htmlTable(Rows),
+std::string formatBurnHtml(const std::vector<burn_line> &Lines, const std::vector<std::string> &MissingVms) {
+  std::vector<burn_row> Rows = formatRows(Lines);
+  std::string Text = formatMissingVms(MissingVms);
+  return fmt::format("{}{}{}{}</body></html>\n", HtmlHead, formatSvgPlot(Rows), formatHtmlTable(Rows),
                      Text.empty() ? "" : "<p>" + escapeHtml(Text) + "</p>\n");
 }
 
--- a/src/yuccaplank/cli/burn_report_test.cpp
+++ b/src/yuccaplank/cli/burn_report_test.cpp
@@ -12,7 +12,7 @@
     R"({"vm":"vm1","objective_percent":95,"queues":[{"queue":"<script>alert('x')</script>",
   "windows":[{"window_s":3600,"good":10,"total":12}]}]})";
 
-schema::burn_counts countsOf(std::uint64_t Good, std::uint64_t Total) {
+schema::burn_counts makeCounts(std::uint64_t Good, std::uint64_t Total) {
   schema::burn_counts Result;
   Result.set_objective_percent(90);
   schema::burn_queue &Queue = *Result.add_queues();
@@ -24,21 +24,22 @@
   return Result;
 }
 
-// Guards against counts of one VM that are taken for those of all, and against a budget that is wrong.
-const test_case Merge("burn report: counts of several VMs", [] {
-  auto Lines = cli::mergeBurn({countsOf(8, 10), countsOf(9, 10)});
+// Guards against a report that shows the counts of one VM as those of all VMs, against a wrong burn rate or
+// budget, and against a division by zero for a queue without jobs.
+const test_case Merge("burn report: counts of several VMs are added up", [] {
+  auto Lines = cli::mergeBurn({makeCounts(8, 10), makeCounts(9, 10)});
   CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Lines.size());
   CPPUNIT_ASSERT_EQUAL(std::uint64_t{20}, Lines[0].Total);
   CPPUNIT_ASSERT_DOUBLES_EQUAL(85, Lines[0].AttainedPercent, Tolerance);
   CPPUNIT_ASSERT_DOUBLES_EQUAL(1.5, Lines[0].BurnRate, Tolerance);
   CPPUNIT_ASSERT_DOUBLES_EQUAL(-50, Lines[0].BudgetLeftPercent, Tolerance);
-  auto Idle = cli::mergeBurn({countsOf(0, 0)});
+  auto Idle = cli::mergeBurn({makeCounts(0, 0)});
   CPPUNIT_ASSERT_DOUBLES_EQUAL(100, Idle[0].AttainedPercent, Tolerance);
   CPPUNIT_ASSERT_DOUBLES_EQUAL(0, Idle[0].BurnRate, Tolerance);
 });
 
-// Guards against names that act as markup on the page.
-const test_case Escaping("burn report: HTML escaping", [] {
+// Guards against queue or VM names that a browser interprets as markup because they are not escaped.
+const test_case Escaping("burn report: names are escaped in HTML", [] {
   CPPUNIT_ASSERT_EQUAL(std::string("&lt;a href=&quot;&#39;&quot;&gt;&amp;amp;"),
                        cli::escapeHtml("<a href=\"'\">&amp;"));
   cli::burn_line Line;
@@ -49,8 +50,9 @@
   CPPUNIT_ASSERT(Page.find("vm&quot;3") != std::string::npos);
 });
 
-// Guards against a page that needs other files, or lacks the plot.
-const test_case Page("burn report: one self-contained page", [] {
+// Guards against a page that cannot be passed on because it refers to other files, and against a page without
+// the plot.
+const test_case Page("burn report: the HTML page refers to no other files", [] {
   testing::cli_run Run([](const wire::http_call &) { return testing::replyWith(200, Counts); });
   CPPUNIT_ASSERT_EQUAL(0, Run.run({"report", "burn", "--html", "burn.html", "--operator", "127.0.0.1:1"}));
   const std::string &Html = Run.Files["burn.html"];
--- a/src/yuccaplank/cli/command.cpp
+++ b/src/yuccaplank/cli/command.cpp
@@ -9,48 +9,48 @@
 
 namespace po = boost::program_options;
 
-void declareNothing(po::options_description & /*Options*/) {}
+void declareNoOptions(po::options_description & /*Options*/) {}
 
-void declareSubmit(po::options_description &Options) {
+void declareSubmitOptions(po::options_description &Options) {
   Options.add_options()("id", po::value<std::string>()->value_name("ID"),
-                        "submit under this id (16 hexadecimal digits); repeats a submission whose outcome is "
-                        "open");
+                        "job id (16 hexadecimal digits); reuse it to repeat a submission whose outcome is "
+                        "unknown");
   Options.add_options()("wait", po::value<double>()->value_name("SECONDS")->default_value(0),
-                        "time in which a refused job is submitted again when the refusal says when");
+                        "how long to retry a refused job if the refusal names a delay");
 }
 
-void declareQueue(po::options_description &Options) {
+void declareQueueOption(po::options_description &Options) {
   Options.add_options()("queue", po::value<std::string>()->value_name("HOST/PATH")->required(),
                         "queue of the job");
 }
 
-void declareBurn(po::options_description &Options) {
+void declareBurnOptions(po::options_description &Options) {
   Options.add_options()("html", po::value<std::string>()->value_name("FILE"),
                         "write the report as one HTML page");
 }
 
 constexpr auto Commands = std::to_array<command>({
-    {"submit", "FILE", "Submits a job document ('-' reads standard input) and waits for its end.",
+    {"submit", "FILE", "Submits a job document ('-' reads standard input) and waits for its outcome.",
      "yuccaplank submit job.json --entry 127.0.0.1:7100,127.0.0.1:7101\n"
      "yuccaplank submit job.json --wait 10\n",
-     command_target::Entry, declareSubmit, runSubmit},
-    {"state", "ID", "Prints the state of a job; an entry VM knows the jobs of its own callers.",
-     "yuccaplank state 5c0e7a21d94b36f8 --queue jobs.example/jobs/\n", command_target::Entry, declareQueue,
-     runState},
+     command_target::Entry, declareSubmitOptions, runSubmit},
+    {"state", "ID", "Prints the state of a job. An entry VM knows only the jobs of its own callers.",
+     "yuccaplank state 5c0e7a21d94b36f8 --queue jobs.example/jobs/\n", command_target::Entry,
+     declareQueueOption, runState},
     {"cancel", "ID", "Cancels a job.", "yuccaplank cancel 5c0e7a21d94b36f8 --queue jobs.example/jobs/\n",
-     command_target::Entry, declareQueue, runCancel},
-    {"waiting", "QUEUE", "Prints how many jobs of a queue (HOST/PATH) wait.",
-     "yuccaplank waiting jobs.example/jobs/\n", command_target::Entry, declareNothing, runWaiting},
-    {"vms", "", "Lists the entry VMs as one of them sees them.", "yuccaplank vms\n", command_target::Operator,
-     declareNothing, runVms},
-    {"servers", "", "Lists the backend servers that the VMs asked own.", "yuccaplank servers --json\n",
-     command_target::Operator, declareNothing, runServers},
-    {"report burn", "", "Reports how the queues meet their objectives.",
+     command_target::Entry, declareQueueOption, runCancel},
+    {"waiting", "QUEUE", "Prints the number of waiting jobs of a queue (HOST/PATH).",
+     "yuccaplank waiting jobs.example/jobs/\n", command_target::Entry, declareNoOptions, runWaiting},
+    {"vms", "", "Lists the entry VMs as reported by one of them.", "yuccaplank vms\n",
+     command_target::Operator, declareNoOptions, runVms},
+    {"servers", "", "Lists the backend servers that the queried VMs own.", "yuccaplank servers --json\n",
+     command_target::Operator, declareNoOptions, runServers},
+    {"report burn", "", "Reports how well the queues meet their objectives.",
      "yuccaplank report burn\n"
      "yuccaplank report burn --html burn.html\n",
-     command_target::Operator, declareBurn, runReportBurn},
-    {"top", "", "Shows VMs, objectives and backend servers, refreshed each second.", "yuccaplank top\n",
-     command_target::Operator, declareNothing, runTop},
+     command_target::Operator, declareBurnOptions, runReportBurn},
+    {"top", "", "Shows VMs, objectives and backend servers, refreshed every second.", "yuccaplank top\n",
+     command_target::Operator, declareNoOptions, runTop},
 });
 
 } // namespace
@@ -61,13 +61,13 @@
                    const console &Console, requester &Requester, std::function<std::string()> MakeJobId) {
   parsed_arguments Parsed = parseArguments(Arguments, Environment);
   if (const auto *Help = std::get_if<help_request>(&Parsed)) {
-    Console.Out(helpText(Help->Command));
+    Console.Out(formatHelp(Help->Command));
     return exit_status::Done;
   }
-  if (const auto *Wrong = std::get_if<usage_error>(&Parsed)) {
-    Console.error(Wrong->Message);
-    std::string Name = Wrong->Command ? fmt::format(" {}", Wrong->Command->Name) : "";
-    Console.error(fmt::format("see 'yuccaplank{} --help'.", Name));
+  if (const auto *UsageError = std::get_if<usage_error>(&Parsed)) {
+    Console.printError(UsageError->Message);
+    std::string Name = UsageError->Command ? fmt::format(" {}", UsageError->Command->Name) : "";
+    Console.printError(fmt::format("see 'yuccaplank{} --help'.", Name));
     return exit_status::Usage;
   }
   const auto &Invocation = std::get<invocation>(Parsed);
--- a/src/yuccaplank/cli/command.hpp
+++ b/src/yuccaplank/cli/command.hpp
@@ -1,4 +1,4 @@
-// Table of commands.
+// Commands of the command-line tool.
 #pragma once
 
 #include "yuccaplank/cli/arguments.hpp"
@@ -11,15 +11,15 @@
 
 namespace yuccaplank::cli {
 
-/// Listener that a command talks to; its address is then required.
+/// Listener that a command connects to. A command with a target requires the address of such a listener.
 enum class command_target : std::uint8_t { None, Entry, Operator };
 
-/// What a command runs with.
+/// Command line and services that a command runs with.
 struct command_context {
   const invocation &Invocation;
   const console &Console;
   requester &Requester;
-  /// Makes job ids: 16 hexadecimal digits.
+  /// Generates a random job id of 16 hexadecimal digits.
   std::function<std::string()> MakeJobId;
 };
 
@@ -30,21 +30,21 @@
   /// Names of the positional arguments, all required, for example "FILE".
   std::string_view Positionals;
   std::string_view Summary;
-  /// One command line each.
+  /// Example command lines, one per line.
   std::string_view Examples;
   command_target Target = command_target::None;
-  void (*Declare)(boost::program_options::options_description &Options) = nullptr;
+  void (*DeclareOptions)(boost::program_options::options_description &Options) = nullptr;
   exit_status (*Run)(command_context &Context) = nullptr;
 };
 
-/// All commands in the order of the help text.
+/// Returns all commands in the order of the help text.
 std::span<const command> commandTable();
 
-/// Parses and runs a command line.
+/// Parses a command line and runs its command.
 exit_status runCli(const std::vector<std::string> &Arguments, const environment &Environment,
                    const console &Console, requester &Requester, std::function<std::string()> MakeJobId);
 
-// Commands by file.
+// Functions that run the commands, defined in job_commands.cpp, fleet_commands.cpp and report_commands.cpp.
 exit_status runSubmit(command_context &Context);
 exit_status runState(command_context &Context);
 exit_status runCancel(command_context &Context);
--- a/src/yuccaplank/cli/console.cpp
+++ b/src/yuccaplank/cli/console.cpp
@@ -39,14 +39,14 @@
 
 } // namespace
 
-void console::error(std::string_view Text) const { Err(fmt::format("yuccaplank: {}\n", Text)); }
+void console::printError(std::string_view Text) const { Err(fmt::format("yuccaplank: {}\n", Text)); }
 
-void console::progress(std::string_view Text) const {
+void console::printProgress(std::string_view Text) const {
   if (ErrorIsTerminal)
     Err(fmt::format("yuccaplank: {}\n", Text));
 }
 
-console processConsole() {
+console makeProcessConsole() {
   console Console;
   Console.Out = [](std::string_view Text) { writeTo(stdout, Text); };
   Console.Err = [](std::string_view Text) { writeTo(stderr, Text); };
--- a/src/yuccaplank/cli/exit_status.hpp
+++ b/src/yuccaplank/cli/exit_status.hpp
@@ -5,16 +5,16 @@
 
 namespace yuccaplank::cli {
 
-/// Exit statuses, the same for all commands (docs/API.md).
+/// Exit statuses of all commands (docs/API.md).
 enum class exit_status : std::uint8_t {
   Done = 0,
   OtherError = 1,
   Usage = 2,
   /// The job failed or was cancelled; some of its tasks may have run.
   Failed = 3,
-  /// Refused, not run.
+  /// The job was refused and did not run.
   Refused = 4,
-  /// The outcome is unknown; the work may have been done.
+  /// The outcome is unknown; the job may have run.
   Unknown = 5,
 };
 
--- a/src/yuccaplank/cli/fleet_commands.cpp
+++ b/src/yuccaplank/cli/fleet_commands.cpp
@@ -1,4 +1,4 @@
-// vms, servers, top.
+// Commands "vms", "servers" and "top".
 #include "yuccaplank/cli/burn_report.hpp"
 #include "yuccaplank/cli/command.hpp"
 #include "yuccaplank/cli/operator_reports.hpp"
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr runtime::duration RefreshInterval = std::chrono::seconds(1);
-// Moves the cursor to the first cell and clears the screen (ECMA-48).
+// Escape sequence that moves the cursor to the first cell and clears the screen (ECMA-48).
 constexpr std::string_view ClearScreen = "\x1b[H\x1b[2J";
 
 const char *yesOrNo(bool Value) { return Value ? "yes" : "no"; }
@@ -31,24 +31,24 @@
   }
 }
 
-// The fleet as the VM sees it that has answered and knows most of it; one that relays knows few others.
-std::string vmTable(const fleet_answers &Answers) {
-  const schema::fleet_report &Widest =
-      *std::ranges::max_element(Answers.Reports, {}, [](const auto &Report) { return Report.vms_size(); });
+// Uses the report that lists the most VMs, because a VM that relays knows only a few of the others.
+std::string formatVmTable(const fleet_reports &Fleet) {
+  const schema::fleet_report &MostComplete =
+      *std::ranges::max_element(Fleet.Reports, {}, [](const auto &Report) { return Report.vms_size(); });
   std::vector<std::vector<std::string>> Rows{{"VM", "DOMAIN", "ADDRESS", "IN CONTACT", "ROLE", "DRAINING",
                                               "PLACING", "REGISTRATION", "CONFIGURATION"}};
-  for (const schema::vm_report &Vm : Widest.vms())
+  for (const schema::vm_report &Vm : MostComplete.vms())
     Rows.push_back({Vm.vm(), Vm.domain(), Vm.address(), yesOrNo(Vm.in_contact()), roleName(Vm.role()),
                     yesOrNo(Vm.draining()), yesOrNo(Vm.placing()), std::to_string(Vm.registration()),
                     std::to_string(Vm.configuration_version())});
   return formatTable(Rows);
 }
 
-// Each server is reported by the VM that owns it.
-std::string serverTable(const fleet_answers &Answers) {
+// Combines the reports of all VMs, because each server is reported only by the VM that owns it.
+std::string formatServerTable(const fleet_reports &Fleet) {
   std::vector<std::vector<std::string>> Rows{
       {"SERVER", "DOMAIN", "POOL", "OWNER", "USABLE", "SLOWNESS", "TASKS", "CORES"}};
-  for (const schema::fleet_report &Report : Answers.Reports)
+  for (const schema::fleet_report &Report : Fleet.Reports)
     for (const schema::server_report &Server : Report.servers())
       Rows.push_back({Server.server(), Server.domain(), Server.pool(), Server.owner(),
                       yesOrNo(Server.usable()), fmt::format("{:.2f}", Server.slowness()),
@@ -57,39 +57,39 @@
   return formatTable(Rows);
 }
 
-exit_status show(command_context &Context, std::string (*Format)(const fleet_answers &)) {
-  fleet_answers Answers = fetchFleet(Context);
-  if (Answers.Reports.empty())
+exit_status printFleet(command_context &Context, std::string (*Format)(const fleet_reports &)) {
+  fleet_reports Fleet = fetchFleetReports(Context);
+  if (Fleet.Reports.empty())
     return exit_status::OtherError;
   if (!Context.Invocation.Global.Json) {
-    Context.Console.Out(Format(Answers));
+    Context.Console.Out(Format(Fleet));
     return exit_status::Done;
   }
-  for (const schema::fleet_report &Report : Answers.Reports)
+  for (const schema::fleet_report &Report : Fleet.Reports)
     Context.Console.Out(wire::writeDocument(Report) + "\n");
   return exit_status::Done;
 }
 
 } // namespace
 
-exit_status runVms(command_context &Context) { return show(Context, vmTable); }
+exit_status runVms(command_context &Context) { return printFleet(Context, formatVmTable); }
 
-exit_status runServers(command_context &Context) { return show(Context, serverTable); }
+exit_status runServers(command_context &Context) { return printFleet(Context, formatServerTable); }
 
 exit_status runTop(command_context &Context) {
   if (!Context.Console.OutputIsTerminal) {
-    Context.Console.error("top needs a terminal.");
+    Context.Console.printError("top needs a terminal.");
     return exit_status::Usage;
   }
   for (;;) {
-    fleet_answers Fleet = fetchFleet(Context);
-    burn_answers Burn = fetchBurn(Context);
+    fleet_reports Fleet = fetchFleetReports(Context);
+    fleet_burn_counts Burn = fetchBurnCounts(Context);
     if (Fleet.Reports.empty())
       return exit_status::OtherError;
-    Context.Console.Out(fmt::format("{}{}\n{}\n{}", ClearScreen, vmTable(Fleet),
-                                    formatBurnTable(mergeBurn(Burn.Counts), Burn.Silent),
-                                    serverTable(Fleet)));
-    Context.Requester.pause(RefreshInterval);
+    Context.Console.Out(fmt::format("{}{}\n{}\n{}", ClearScreen, formatVmTable(Fleet),
+                                    formatBurnTable(mergeBurn(Burn.Counts), Burn.MissingVms),
+                                    formatServerTable(Fleet)));
+    Context.Requester.sleepFor(RefreshInterval);
   }
 }
 
--- a/src/yuccaplank/cli/fleet_commands_test.cpp
+++ b/src/yuccaplank/cli/fleet_commands_test.cpp
@@ -14,14 +14,15 @@
   "servers":[{"server":"s1","domain":"d1","pool":"p","owner":"vm1","usable":true,"slowness":1.234,"tasks":2,
   "used":{"cpu":27000},"capacity":{"cpu":64000}}]})";
 
-// Guards against tables that lose a VM or server, and against errors without their reason.
-const test_case Fleet("vms, servers: tables and errors", [] {
+// Guards against tables that omit a VM or server, for example because the report of a VM that relays is shown
+// alone, and against error messages that do not give the reason.
+const test_case Fleet("vms, servers: tables show all reported VMs and servers, errors give the reason", [] {
   testing::scripted_reply Reply;
   cli_run Run([&](const wire::http_call &Call) {
     return Call.Address == "127.0.0.1:9" ? testing::refusedConnection() : Reply;
   });
   Reply = replyWith(200, Report);
-  if (auto When = section("when VMs are listed")) {
+  if (auto When = section("when one VM reports the fleet")) {
     CPPUNIT_ASSERT_EQUAL(0, Run.run({"vms", "--operator", "127.0.0.1:1"}));
     CPPUNIT_ASSERT_EQUAL(
         std::string(
@@ -30,8 +31,8 @@
             "vm1  d1      127.0.0.1:7300  yes         dispatches  no        yes      3             7\n"),
         Run.Out);
   }
-  if (auto When =
-          section("when VMs are listed by one that relays and one that knows more, the latter is shown")) {
+  if (auto When = section(
+          "when a VM that relays and one that knows more VMs report the fleet, the latter is shown")) {
     cli_run Two([&](const wire::http_call &Call) {
       return Call.Address == "127.0.0.1:9"
                  ? replyWith(200, R"({"vm":"vm9","vms":[{"vm":"vm9","role":"VM_RELAYS"}]})")
@@ -41,17 +42,18 @@
     CPPUNIT_ASSERT(Two.Out.find("vm1 ") != std::string::npos);
     CPPUNIT_ASSERT(Two.Out.find("relays") != std::string::npos);
   }
-  if (auto When = section("when servers are listed by two VMs, of which one does not answer")) {
+  if (auto When =
+          section("when one of two VMs refuses the connection, the servers of the other are listed")) {
     CPPUNIT_ASSERT_EQUAL(0, Run.run({"servers", "--operator", "127.0.0.1:9,127.0.0.1:1"}));
     CPPUNIT_ASSERT(Run.Out.ends_with("s1      d1      p     vm1    yes     1.23      2      27 of 64\n"));
     CPPUNIT_ASSERT_EQUAL(std::string("yuccaplank: no report from 127.0.0.1:9: connect_failed.\n"), Run.Err);
   }
-  if (auto When = section("when no VM answers")) {
+  if (auto When = section("when no VM sends a report, the exit status is 1")) {
     Reply = replyWith(404, "{}");
     CPPUNIT_ASSERT_EQUAL(1, Run.run({"vms", "--operator", "127.0.0.1:1"}));
     CPPUNIT_ASSERT_EQUAL(std::string("yuccaplank: no report from 127.0.0.1:1: HTTP status 404.\n"), Run.Err);
   }
-  if (auto When = section("when there is no terminal for the live view"))
+  if (auto When = section("when standard output is not a terminal, top ends with exit status 2"))
     CPPUNIT_ASSERT_EQUAL(2, Run.run({"top", "--operator", "127.0.0.1:1"}));
 });
 
--- a/src/yuccaplank/cli/job_commands.cpp
+++ b/src/yuccaplank/cli/job_commands.cpp
@@ -1,4 +1,4 @@
-// submit, state, cancel, waiting.
+// Commands "submit", "state", "cancel" and "waiting".
 #include "job.pb.h"
 #include "yuccaplank/cli/command.hpp"
 #include "yuccaplank/cli/submission.hpp"
@@ -19,30 +19,32 @@
 using platform::caller_outcome;
 using platform::queue_address;
 
-constexpr double ThousandthsOfCore = 1000;
+constexpr double ThousandthsPerCore = 1000;
 
-// Indexed by caller_outcome.
+// Names of the outcomes, indexed by caller_outcome.
 constexpr auto OutcomeNames = std::to_array<std::string_view>(
     {"completed", "failed", "cancelled", "pending", "refused", "malformed", "not_found", "unknown"});
 
-std::string_view nameOf(caller_outcome Outcome) { return OutcomeNames.at(static_cast<std::size_t>(Outcome)); }
+std::string_view outcomeName(caller_outcome Outcome) {
+  return OutcomeNames.at(static_cast<std::size_t>(Outcome));
+}
 
 entry_session makeSession(const command_context &Context) {
   return {Context.Requester, Context.Invocation.Global.Entries};
 }
 
-void print(const command_context &Context, const std::string &Id, const caller_answer &Answer) {
+void printAnswer(const command_context &Context, const std::string &Id, const caller_answer &Answer) {
   if (!Context.Invocation.Global.Json) {
-    Context.Console.Out(fmt::format("{} {}\n", Id, nameOf(Answer.Outcome)));
+    Context.Console.Out(fmt::format("{} {}\n", Id, outcomeName(Answer.Outcome)));
     return;
   }
-  nlohmann::ordered_json Document{{"id", Id}, {"outcome", nameOf(Answer.Outcome)}};
+  nlohmann::ordered_json Document{{"id", Id}, {"outcome", outcomeName(Answer.Outcome)}};
   if (Answer.RetryAfterS > 0)
     Document["retry_after_s"] = Answer.RetryAfterS;
   Context.Console.Out(Document.dump() + "\n");
 }
 
-// "HOST/PATH" of a queue.
+// Parses the address of a queue, "HOST/PATH".
 std::optional<queue_address> parseQueue(const std::string &Text) {
   std::size_t Slash = Text.find('/');
   if (Slash == std::string::npos || Slash == 0)
@@ -50,11 +52,11 @@
   return queue_address{Text.substr(0, Slash), Text.substr(Slash)};
 }
 
-// Reads a job document; what is wrong has been reported.
+// Reads a job document. Prints an error and returns nothing when the document is not valid.
 std::optional<schema::job_document> readJobFile(const command_context &Context, const std::string &File) {
   auto Text = Context.Console.ReadFile(File);
   if (!Text) {
-    Context.Console.error(fmt::format("cannot read {}.", File));
+    Context.Console.printError(fmt::format("cannot read {}.", File));
     return std::nullopt;
   }
   schema::job_document Job;
@@ -80,7 +82,7 @@
   Plan.Job.Id = Id;
   Plan.Job.Specification = Document.specification();
   Plan.Job.TaskCount = Document.tasks();
-  Plan.Job.TaskSize.set_cpu(static_cast<std::uint32_t>(std::lround(Document.cores() * ThousandthsOfCore)));
+  Plan.Job.TaskSize.set_cpu(static_cast<std::uint32_t>(std::lround(Document.cores() * ThousandthsPerCore)));
   Plan.Job.TaskSize.set_memory_mb(Document.memory_mb());
   Plan.Job.TaskSize.set_accelerators(Document.accelerators());
   Plan.Job.EstimateMs = Document.declared_ms();
@@ -88,39 +90,39 @@
   return Plan;
 }
 
-// Id and queue of a command about a job.
-struct named_job {
+// Identifies the job that a command refers to.
+struct job_reference {
   std::uint64_t Id = 0;
   queue_address Queue;
 };
 
-std::optional<named_job> readNames(const command_context &Context) {
-  auto Id = platform::parseJobId(Context.Invocation.text("ID"));
-  auto Queue = parseQueue(Context.Invocation.text("queue"));
+std::optional<job_reference> readJobReference(const command_context &Context) {
+  auto Id = platform::parseJobId(Context.Invocation.stringOption("ID"));
+  auto Queue = parseQueue(Context.Invocation.stringOption("queue"));
   if (!Id)
-    Context.Console.error("ID must be 16 hexadecimal digits.");
+    Context.Console.printError("ID must be 16 hexadecimal digits.");
   if (!Queue)
-    Context.Console.error("--queue must be HOST/PATH.");
+    Context.Console.printError("--queue must be HOST/PATH.");
   if (!Id || !Queue)
     return std::nullopt;
-  return named_job{*Id, *Queue};
+  return job_reference{*Id, *Queue};
 }
 
-// Asks about a job; prints the answer.
-exit_status askAboutJob(command_context &Context,
+// Sends the call that MakeCall returns for the given job, and prints the answer.
+exit_status runJobQuery(command_context &Context,
                         wire::http_call (*MakeCall)(const std::string &, const queue_address &,
                                                     std::uint64_t)) {
-  auto Names = readNames(Context);
-  if (!Names)
+  auto Job = readJobReference(Context);
+  if (!Job)
     return exit_status::Usage;
   entry_session Session = makeSession(Context);
   auto Result =
-      Session.ask([&](const std::string &Entry) { return MakeCall(Entry, Names->Queue, Names->Id); },
-                  Context.Invocation.Global.Timeout);
+      Session.exchangeWithAny([&](const std::string &Entry) { return MakeCall(Entry, Job->Queue, Job->Id); },
+                              Context.Invocation.Global.Timeout);
   caller_answer Answer = platform::decodeCallerAnswer(Result);
-  print(Context, Context.Invocation.text("ID"), Answer);
+  printAnswer(Context, Context.Invocation.stringOption("ID"), Answer);
   if (Answer.Outcome == caller_outcome::Unanswered) {
-    Context.Console.error(fmt::format("no answer: {}.", Answer.Detail));
+    Context.Console.printError(fmt::format("no answer: {}.", Answer.Detail));
     return exit_status::Unknown;
   }
   return Answer.Outcome == caller_outcome::NotFound ? exit_status::OtherError : exit_status::Done;
@@ -130,49 +132,49 @@
 
 exit_status runSubmit(command_context &Context) {
   const invocation &Invocation = Context.Invocation;
-  std::string Id = Invocation.text("id");
+  std::string Id = Invocation.stringOption("id");
   if (Id.empty())
     Id = Context.MakeJobId();
-  auto Number = platform::parseJobId(Id);
-  if (!Number) {
-    Context.Console.error("--id must be 16 hexadecimal digits.");
+  auto JobId = platform::parseJobId(Id);
+  if (!JobId) {
+    Context.Console.printError("--id must be 16 hexadecimal digits.");
     return exit_status::Usage;
   }
-  auto Document = readJobFile(Context, Invocation.text("FILE"));
+  auto Document = readJobFile(Context, Invocation.stringOption("FILE"));
   if (!Document)
     return exit_status::Refused;
-  submission_plan Plan = makePlan(*Document, *Number);
+  submission_plan Plan = makePlan(*Document, *JobId);
   Plan.Timeout = Invocation.Global.Timeout;
-  Plan.Wait = runtime::fromMs(Invocation.Options["wait"].as<double>() * 1000);
+  Plan.RefusalRetryTimeout = runtime::fromMs(Invocation.Options["wait"].as<double>() * 1000);
   entry_session Session = makeSession(Context);
   submission_result Result =
-      submitJob(Session, Plan, [&](std::string_view Message) { Context.Console.progress(Message); });
-  print(Context, Id, Result.Answer);
+      submitJob(Session, Plan, [&](std::string_view Message) { Context.Console.printProgress(Message); });
+  printAnswer(Context, Id, Result.Answer);
   if (Result.Status == exit_status::Unknown)
-    Context.Console.error(
-        fmt::format("an attempt got no answer; the job may have run. Ask again with 'submit --id {}'.", Id));
+    Context.Console.printError(fmt::format(
+        "an attempt received no answer; the job may have run. Repeat it with 'submit --id {}'.", Id));
   else if (Result.Status != exit_status::Done)
-    Context.Console.error(fmt::format("job {} was not completed: {}.", Id, Result.Answer.Detail));
+    Context.Console.printError(fmt::format("job {} was not completed: {}.", Id, Result.Answer.Detail));
   return Result.Status;
 }
 
-exit_status runState(command_context &Context) { return askAboutJob(Context, platform::makeStateCall); }
+exit_status runState(command_context &Context) { return runJobQuery(Context, platform::makeStateCall); }
 
-exit_status runCancel(command_context &Context) { return askAboutJob(Context, platform::makeCancelCall); }
+exit_status runCancel(command_context &Context) { return runJobQuery(Context, platform::makeCancelCall); }
 
 exit_status runWaiting(command_context &Context) {
-  auto Queue = parseQueue(Context.Invocation.text("QUEUE"));
+  auto Queue = parseQueue(Context.Invocation.stringOption("QUEUE"));
   if (!Queue) {
-    Context.Console.error("QUEUE must be HOST/PATH.");
+    Context.Console.printError("QUEUE must be HOST/PATH.");
     return exit_status::Usage;
   }
   entry_session Session = makeSession(Context);
-  auto Result =
-      Session.ask([&](const std::string &Entry) { return platform::makeWaitingCall(Entry, *Queue); },
-                  Context.Invocation.Global.Timeout);
+  auto Result = Session.exchangeWithAny(
+      [&](const std::string &Entry) { return platform::makeWaitingCall(Entry, *Queue); },
+      Context.Invocation.Global.Timeout);
   auto Waiting = platform::decodeWaiting(Result);
   if (!Waiting) {
-    Context.Console.error(
+    Context.Console.printError(
         Result.Error ? fmt::format("no answer: {}.", Result.Error.message())
                      : fmt::format("no such queue, or no readable answer: HTTP status {}.", Result.Status));
     return exit_status::OtherError;
--- a/src/yuccaplank/cli/operator_reports.cpp
+++ b/src/yuccaplank/cli/operator_reports.cpp
@@ -6,7 +6,7 @@
 namespace yuccaplank::cli {
 namespace {
 
-// Why an exchange gave no report; empty when it did.
+// Reads the report from the reply. Returns the reason of a failure, or an empty string on success.
 std::string readReport(const wire::http_call_result &Result, google::protobuf::Message &Report) {
   if (Result.Error)
     return Result.Error.message();
@@ -15,10 +15,11 @@
   return wire::readDocument(Result.Body, Report).empty() ? "" : "unreadable report";
 }
 
-// Asks each VM for its report. What fails is reported on the console.
+// Requests the report of each VM. Prints an error for each VM that sends none, and adds its address to
+// MissingVms.
 template <typename Message>
-void fetch(command_context &Context, const char *Path, std::vector<Message> &Reports,
-           std::vector<std::string> &Silent) {
+void fetchReports(command_context &Context, const char *Path, std::vector<Message> &Reports,
+                  std::vector<std::string> &MissingVms) {
   for (const std::string &Address : Context.Invocation.Global.Operators) {
     wire::http_call Call;
     Call.Address = Address;
@@ -29,24 +30,24 @@
     if (Failure.empty()) {
       Reports.push_back(std::move(Report));
     } else {
-      Silent.push_back(Address);
-      Context.Console.error(fmt::format("no report from {}: {}.", Address, Failure));
+      MissingVms.push_back(Address);
+      Context.Console.printError(fmt::format("no report from {}: {}.", Address, Failure));
     }
   }
 }
 
 } // namespace
 
-fleet_answers fetchFleet(command_context &Context) {
-  fleet_answers Answers;
-  fetch(Context, "/v1/fleet", Answers.Reports, Answers.Silent);
-  return Answers;
+fleet_reports fetchFleetReports(command_context &Context) {
+  fleet_reports Fleet;
+  fetchReports(Context, "/v1/fleet", Fleet.Reports, Fleet.MissingVms);
+  return Fleet;
 }
 
-burn_answers fetchBurn(command_context &Context) {
-  burn_answers Answers;
-  fetch(Context, "/v1/burn", Answers.Counts, Answers.Silent);
-  return Answers;
+fleet_burn_counts fetchBurnCounts(command_context &Context) {
+  fleet_burn_counts Burn;
+  fetchReports(Context, "/v1/burn", Burn.Counts, Burn.MissingVms);
+  return Burn;
 }
 
 } // namespace yuccaplank::cli
--- a/src/yuccaplank/cli/operator_reports.hpp
+++ b/src/yuccaplank/cli/operator_reports.hpp
@@ -1,4 +1,4 @@
-// Reports of entry VMs to operators.
+// Fetches reports from the operator listeners of the entry VMs.
 #pragma once
 
 #include "report.pb.h"
@@ -9,17 +9,18 @@
 
 namespace yuccaplank::cli {
 
-/// Reports of the VMs asked, and the addresses of those that gave none.
-struct fleet_answers {
+/// Fleet reports of the queried VMs, and the addresses of the VMs that sent none.
+struct fleet_reports {
   std::vector<schema::fleet_report> Reports;
-  std::vector<std::string> Silent;
+  std::vector<std::string> MissingVms;
 };
-fleet_answers fetchFleet(command_context &Context);
+fleet_reports fetchFleetReports(command_context &Context);
 
-struct burn_answers {
+/// Burn counts of the queried VMs, and the addresses of the VMs that sent none.
+struct fleet_burn_counts {
   std::vector<schema::burn_counts> Counts;
-  std::vector<std::string> Silent;
+  std::vector<std::string> MissingVms;
 };
-burn_answers fetchBurn(command_context &Context);
+fleet_burn_counts fetchBurnCounts(command_context &Context);
 
 } // namespace yuccaplank::cli
--- a/src/yuccaplank/cli/output.cpp
+++ b/src/yuccaplank/cli/output.cpp
@@ -7,7 +7,7 @@
 namespace yuccaplank::cli {
 namespace {
 
-constexpr double ThousandthsOfCore = 1000;
+constexpr double ThousandthsPerCore = 1000;
 
 } // namespace
 
@@ -30,7 +30,7 @@
 }
 
 std::string formatCores(std::uint32_t Used, std::uint32_t Capacity) {
-  return fmt::format("{:g} of {:g}", Used / ThousandthsOfCore, Capacity / ThousandthsOfCore);
+  return fmt::format("{:g} of {:g}", Used / ThousandthsPerCore, Capacity / ThousandthsPerCore);
 }
 
 } // namespace yuccaplank::cli
--- a/src/yuccaplank/cli/output.hpp
+++ b/src/yuccaplank/cli/output.hpp
@@ -1,4 +1,4 @@
-// Text for people: tables and cells.
+// Formats tables and their cells for the terminal.
 #pragma once
 
 #include <cstdint>
@@ -7,10 +7,10 @@
 
 namespace yuccaplank::cli {
 
-/// Column widths fit the cells; the first row is the head.
+/// Formats a table whose columns are as wide as their widest cell. The first row is the header.
 std::string formatTable(const std::vector<std::vector<std::string>> &Rows);
 
-/// "0.5 of 64" cores from thousandths of a core.
+/// Formats a number of cores as "0.5 of 64". Both parameters are in thousandths of a core.
 std::string formatCores(std::uint32_t Used, std::uint32_t Capacity);
 
 } // namespace yuccaplank::cli
--- a/src/yuccaplank/cli/report_commands.cpp
+++ b/src/yuccaplank/cli/report_commands.cpp
@@ -1,4 +1,4 @@
-// report burn.
+// Command "report burn".
 #include "yuccaplank/cli/burn_report.hpp"
 #include "yuccaplank/cli/command.hpp"
 #include "yuccaplank/cli/operator_reports.hpp"
@@ -8,19 +8,19 @@
 namespace yuccaplank::cli {
 
 exit_status runReportBurn(command_context &Context) {
-  burn_answers Answers = fetchBurn(Context);
-  if (Answers.Counts.empty())
+  fleet_burn_counts Burn = fetchBurnCounts(Context);
+  if (Burn.Counts.empty())
     return exit_status::OtherError;
-  std::vector<burn_line> Lines = mergeBurn(Answers.Counts);
-  std::string File = Context.Invocation.text("html");
-  if (!File.empty() && !Context.Console.WriteFile(File, formatBurnHtml(Lines, Answers.Silent))) {
-    Context.Console.error(fmt::format("cannot write {}.", File));
+  std::vector<burn_line> Lines = mergeBurn(Burn.Counts);
+  std::string File = Context.Invocation.stringOption("html");
+  if (!File.empty() && !Context.Console.WriteFile(File, formatBurnHtml(Lines, Burn.MissingVms))) {
+    Context.Console.printError(fmt::format("cannot write {}.", File));
     return exit_status::OtherError;
   }
   if (Context.Invocation.Global.Json)
     Context.Console.Out(formatBurnJson(Lines) + "\n");
   else if (File.empty())
-    Context.Console.Out(formatBurnTable(Lines, Answers.Silent));
+    Context.Console.Out(formatBurnTable(Lines, Burn.MissingVms));
   return exit_status::Done;
 }
 
--- a/src/yuccaplank/cli/requester.cpp
+++ b/src/yuccaplank/cli/requester.cpp
@@ -15,7 +15,7 @@
   return Result;
 }
 
-void requester::pause(runtime::duration Delay) {
+void requester::sleepFor(runtime::duration Delay) {
   bool Done = false;
   Executor.after(Delay, [&] {
     Done = true;
--- a/src/yuccaplank/cli/requester.hpp
+++ b/src/yuccaplank/cli/requester.hpp
@@ -1,4 +1,4 @@
-// Runs HTTP exchanges one after another, so that commands read as a sequence of steps.
+// Runs HTTP exchanges synchronously, so that a command is written as a sequence of steps.
 #pragma once
 
 #include "yuccaplank/runtime/executor.hpp"
@@ -8,23 +8,23 @@
 
 namespace yuccaplank::cli {
 
-/// Lets an executor run.
+/// Runs and stops the event loop of an executor.
 struct event_driver {
-  /// Runs events; returns after Stop, or earlier.
+  /// Processes events. Returns after Stop is called, or earlier.
   std::function<void()> Run;
   std::function<void()> Stop;
 };
 
-/// Blocking exchanges on an executor.
+/// Blocking HTTP exchanges and delays on an executor.
 class requester {
 public:
   requester(runtime::executor &Executor, wire::http_client &Client, event_driver Driver)
       : Executor(Executor), Client(Client), Driver(std::move(Driver)) {}
 
-  /// Returns when the exchange has ended.
+  /// Sends the request and returns when the exchange has ended.
   wire::http_call_result exchange(wire::http_call Call);
-  /// Returns after Delay.
-  void pause(runtime::duration Delay);
+  /// Blocks for the given delay.
+  void sleepFor(runtime::duration Delay);
   [[nodiscard]] const runtime::clock &clock() const { return Executor.clock(); }
 
 private:
--- a/src/yuccaplank/cli/session.cpp
+++ b/src/yuccaplank/cli/session.cpp
@@ -2,19 +2,21 @@
 
 namespace yuccaplank::cli {
 
-wire::http_call_result entry_session::attempt(const call_maker &MakeCall, runtime::duration Timeout) {
-  wire::http_call Call = MakeCall(Entries[Next]);
+wire::http_call_result entry_session::exchangeWithCurrent(const call_factory &MakeCall,
+                                                          runtime::duration Timeout) {
+  wire::http_call Call = MakeCall(Entries[Current]);
   Call.Timeout = Timeout;
   return Requester.exchange(std::move(Call));
 }
 
-wire::http_call_result entry_session::ask(const call_maker &MakeCall, runtime::duration Timeout) {
+wire::http_call_result entry_session::exchangeWithAny(const call_factory &MakeCall,
+                                                      runtime::duration Timeout) {
   wire::http_call_result Result;
   for (std::size_t Attempt = 0; Attempt < Entries.size(); ++Attempt) {
-    Result = attempt(MakeCall, Timeout);
+    Result = exchangeWithCurrent(MakeCall, Timeout);
     if (!Result.Error)
       break;
-    advance();
+    selectNext();
   }
   return Result;
 }
--- a/src/yuccaplank/cli/submission.cpp
+++ b/src/yuccaplank/cli/submission.cpp
@@ -10,57 +10,61 @@
 using platform::caller_answer;
 using platform::caller_outcome;
 
-class submission_run {
+class job_submitter {
 public:
-  submission_run(entry_session &Session, const submission_plan &Plan,
-                 const std::function<void(std::string_view)> &Progress)
-      : Session(Session), Plan(Plan), Progress(Progress), End(now() + Plan.Timeout),
-        WaitEnd(now() + Plan.Wait) {}
+  job_submitter(entry_session &Session, const submission_plan &Plan,
+                const std::function<void(std::string_view)> &PrintProgress)
+      : Session(Session), Plan(Plan), PrintProgress(PrintProgress), SendDeadline(now() + Plan.Timeout),
+        RetryDeadline(now() + Plan.RefusalRetryTimeout) {}
 
   submission_result run() {
     for (;;) {
-      wire::http_call_result Result = Session.attempt(
+      wire::http_call_result Result = Session.exchangeWithCurrent(
           [this](const std::string &Entry) { return makeSubmitCall(Entry, Plan.Queue, Plan.Job); },
-          std::max(End - now(), runtime::duration(std::chrono::milliseconds(1))));
+          std::max(SendDeadline - now(), runtime::duration(std::chrono::milliseconds(1))));
       caller_answer Answer = platform::decodeCallerAnswer(Result);
       bool NothingWritten = Result.Error && Result.Stage == wire::transfer_stage::NothingWritten;
       if (Answer.Outcome == caller_outcome::Unanswered) {
-        AttemptLost |= !NothingWritten;
-        if (sendAgain(NothingWritten ? UnreachablePause : ResendDelay, Answer))
+        AnswerLost |= !NothingWritten;
+        if (waitBeforeResend(NothingWritten ? UnreachableRetryDelay : ResendDelay, Answer))
           continue;
       }
-      if (Answer.Outcome == caller_outcome::Refused && waitAfter(Answer))
+      if (Answer.Outcome == caller_outcome::Refused && waitAfterRefusal(Answer))
         continue;
-      return {statusOf(Answer), Answer};
+      return {toExitStatus(Answer), Answer};
     }
   }
 
 private:
-  static constexpr runtime::duration UnreachablePause = std::chrono::milliseconds(200);
+  // Delay after an attempt that reached no entry VM and therefore cannot have started a task.
+  static constexpr runtime::duration UnreachableRetryDelay = std::chrono::milliseconds(200);
 
-  [[nodiscard]] runtime::time_point now() const { return Session.timing().clock().now(); }
+  [[nodiscard]] runtime::time_point now() const { return Session.getRequester().clock().now(); }
 
-  bool sendAgain(runtime::duration Delay, const caller_answer &Answer) {
-    if (now() + Delay >= End)
+  // Waits and selects the next entry VM. Returns false at once when the delay would exceed the timeout.
+  bool waitBeforeResend(runtime::duration Delay, const caller_answer &Answer) {
+    if (now() + Delay >= SendDeadline)
       return false;
-    Progress(fmt::format("no answer ({}); sending the job again.", Answer.Detail));
-    Session.timing().pause(Delay);
-    Session.advance();
+    PrintProgress(fmt::format("no answer ({}); sending the job again.", Answer.Detail));
+    Session.getRequester().sleepFor(Delay);
+    Session.selectNext();
     return true;
   }
 
-  bool waitAfter(const caller_answer &Refusal) {
+  // Waits as long as the refusal asks for, and selects the next entry VM. Returns false at once when the
+  // refusal names no delay or when the delay would exceed the time for retries.
+  bool waitAfterRefusal(const caller_answer &Refusal) {
     auto Delay = std::chrono::seconds(Refusal.RetryAfterS);
-    if (Refusal.RetryAfterS == 0 || now() + Delay > WaitEnd)
+    if (Refusal.RetryAfterS == 0 || now() + Delay > RetryDeadline)
       return false;
-    Progress(fmt::format("refused; sending the job again in {} s.", Refusal.RetryAfterS));
-    Session.timing().pause(Delay);
-    Session.advance();
-    End = now() + Plan.Timeout;
+    PrintProgress(fmt::format("refused; sending the job again in {} s.", Refusal.RetryAfterS));
+    Session.getRequester().sleepFor(Delay);
+    Session.selectNext();
+    SendDeadline = now() + Plan.Timeout;
     return true;
   }
 
-  [[nodiscard]] exit_status statusOf(const caller_answer &Answer) const {
+  [[nodiscard]] exit_status toExitStatus(const caller_answer &Answer) const {
     switch (Answer.Outcome) {
     case caller_outcome::Completed:
       return exit_status::Done;
@@ -68,24 +72,24 @@
     case caller_outcome::Cancelled:
       return exit_status::Failed;
     default:
-      return AttemptLost ? exit_status::Unknown : exit_status::Refused;
+      return AnswerLost ? exit_status::Unknown : exit_status::Refused;
     }
   }
 
   entry_session &Session;
   const submission_plan &Plan;
-  const std::function<void(std::string_view)> &Progress;
-  runtime::time_point End;
-  runtime::time_point WaitEnd;
-  // An attempt may have reached an entry VM and was not answered.
-  bool AttemptLost = false;
+  const std::function<void(std::string_view)> &PrintProgress;
+  runtime::time_point SendDeadline;
+  runtime::time_point RetryDeadline;
+  // An attempt may have reached an entry VM, but its answer was lost.
+  bool AnswerLost = false;
 };
 
 } // namespace
 
 submission_result submitJob(entry_session &Session, const submission_plan &Plan,
-                            const std::function<void(std::string_view)> &Progress) {
-  return submission_run(Session, Plan, Progress).run();
+                            const std::function<void(std::string_view)> &PrintProgress) {
+  return job_submitter(Session, Plan, PrintProgress).run();
 }
 
 } // namespace yuccaplank::cli
--- a/src/yuccaplank/cli/submission.hpp
+++ b/src/yuccaplank/cli/submission.hpp
@@ -1,4 +1,4 @@
-// Submits a job and decides when it is sent again.
+// Submits a job, and resends it after a lost answer or a refusal.
 #pragma once
 
 #include "yuccaplank/cli/exit_status.hpp"
@@ -13,10 +13,11 @@
 struct submission_plan {
   platform::queue_address Queue;
   platform::caller_job Job;
-  /// Time in which the job is sent, and sent again after lost answers.
+  /// Limits the time for sending the job, including the attempts after lost answers. It restarts after a
+  /// refusal.
   runtime::duration Timeout = std::chrono::seconds(30);
-  /// Time in which a refused job is sent again when the refusal says when.
-  runtime::duration Wait{};
+  /// Limits the time in which a refused job is sent again. Zero means that it is not sent again.
+  runtime::duration RefusalRetryTimeout{};
 };
 
 struct submission_result {
@@ -24,14 +25,16 @@
   platform::caller_answer Answer;
 };
 
-/// Rules:
-/// - After a lost answer the job is sent again under the same id, at the next entry VM, after ResendDelay. By
-///   then nothing of the first submission runs.
-/// - After a refusal it is sent again when the refusal says when and Wait allows it.
+/// Submits a job and waits for its outcome:
+/// - After a lost answer the job is sent again under the same id, to the next entry VM, after ResendDelay. By
+///   then no task of the first submission is running.
+/// - After a refusal that names a delay the job is sent again after that delay, if RefusalRetryTimeout allows
+/// it.
 /// - A refusal that follows a lost answer leaves the outcome unknown.
 submission_result submitJob(entry_session &Session, const submission_plan &Plan,
-                            const std::function<void(std::string_view)> &Progress);
+                            const std::function<void(std::string_view)> &PrintProgress);
 
+/// Delay between a lost answer and the next attempt.
 inline constexpr runtime::duration ResendDelay = std::chrono::milliseconds(1300);
 
 } // namespace yuccaplank::cli
--- a/src/yuccaplank/cli/submission_test.cpp
+++ b/src/yuccaplank/cli/submission_test.cpp
@@ -18,7 +18,7 @@
   "tasks":2,"cores":27,"memory_mb":64,"declared_ms":60,"deadline_ms":2000})";
 constexpr auto Completed = R"({"state":"completed"})";
 
-// The replies in turn; the last one again and again.
+// Runs commands against a client that returns the replies in turn, and repeats the last one.
 struct scripted_run {
   std::deque<scripted_reply> Replies;
   cli_run Run{[this](const wire::http_call &) {
@@ -31,22 +31,23 @@
   explicit scripted_run(std::deque<scripted_reply> Replies) : Replies(std::move(Replies)) {
     Run.Files["job.json"] = Job;
   }
-  int submit(std::vector<std::string> More = {}) {
+  int submit(std::vector<std::string> ExtraArguments = {}) {
     std::vector<std::string> Arguments{"submit",           "job.json", "--id",
                                        "5c0e7a21d94b36f8", "--entry",  "127.0.0.1:1,127.0.0.1:2"};
-    Arguments.insert(Arguments.end(), More.begin(), More.end());
+    Arguments.insert(Arguments.end(), ExtraArguments.begin(), ExtraArguments.end());
     return Run.run(Arguments);
   }
 };
 
-scripted_reply refusal() {
+scripted_reply makeRefusal() {
   scripted_reply Reply = replyWith(503, "{}");
   Reply.Result.Headers.push_back({"retry-after", "2"});
   return Reply;
 }
 
-// Guards against a job that is sent in another form than its document says.
-const test_case Request("submit: the request", [] {
+// Guards against a request that does not match the job document, for example in the number or the size of
+// tasks.
+const test_case Request("submit: the request contains the fields of the job document", [] {
   scripted_run Script({replyWith(200, Completed)});
   CPPUNIT_ASSERT_EQUAL(0, Script.submit());
   const wire::http_call &Call = Script.Run.Client.Calls.at(0);
@@ -59,39 +60,43 @@
   CPPUNIT_ASSERT_EQUAL(std::string("5c0e7a21d94b36f8 completed\n"), Script.Run.Out);
 });
 
-// Guards against a job that is run again under another id, or given up although it can be sent again.
-const test_case LostAnswers("submit: lost answers", [] {
-  if (auto Given = section("given an entry VM that breaks the connection")) {
+// Guards against a job that runs twice because it is resent under another id, against a job that is not
+// resent after a lost answer, and against a refusal that is reported although an earlier attempt may have
+// run.
+const test_case LostAnswers("submit: a job is resent after a lost answer", [] {
+  if (auto Given = section("given an entry VM that closes the connection")) {
     scripted_run Script({lostConnection(), replyWith(200, Completed)});
     CPPUNIT_ASSERT_EQUAL(0, Script.submit());
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, Script.Run.Client.Calls.size());
     CPPUNIT_ASSERT_EQUAL(Script.Run.Client.Calls[0].Path, Script.Run.Client.Calls[1].Path);
     CPPUNIT_ASSERT(Script.Run.Client.Calls[0].Address != Script.Run.Client.Calls[1].Address);
   }
-  if (auto Given = section("given entry VMs that never answer")) {
+  if (auto Given = section("given entry VMs that never answer, the outcome is unknown")) {
     scripted_run Script({lostConnection()});
     CPPUNIT_ASSERT_EQUAL(5, Script.submit({"--timeout", "5"}));
     CPPUNIT_ASSERT(Script.Run.Err.find("may have run") != std::string::npos);
   }
-  if (auto Given = section("given a refusal after a lost answer, which says nothing of the first attempt")) {
-    scripted_run Script({lostConnection(), refusal()});
+  if (auto Given =
+          section("given a refusal after a lost answer, the outcome of the first attempt is unknown")) {
+    scripted_run Script({lostConnection(), makeRefusal()});
     CPPUNIT_ASSERT_EQUAL(5, Script.submit());
   }
-  if (auto Given = section("given entry VMs that cannot be reached")) {
+  if (auto Given = section("given unreachable entry VMs, the job has not run")) {
     scripted_run Script({refusedConnection()});
     CPPUNIT_ASSERT_EQUAL(4, Script.submit({"--timeout", "2"}));
   }
 });
 
-// Guards against refusals that are taken for failures, and against waiting longer than allowed.
-const test_case Refusals("submit: refusals", [] {
-  if (auto Given = section("given a refusal and no time to wait")) {
-    scripted_run Script({refusal()});
+// Guards against a refusal that is reported as a failure of the job, and against retries although --wait
+// does not allow them.
+const test_case Refusals("submit: a refused job is resent only within --wait", [] {
+  if (auto Given = section("given a refusal without --wait")) {
+    scripted_run Script({makeRefusal()});
     CPPUNIT_ASSERT_EQUAL(4, Script.submit());
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Script.Run.Client.Calls.size());
   }
-  if (auto Given = section("given a refusal and time to wait")) {
-    scripted_run Script({refusal(), replyWith(200, Completed)});
+  if (auto Given = section("given a refusal with --wait")) {
+    scripted_run Script({makeRefusal(), replyWith(200, Completed)});
     CPPUNIT_ASSERT_EQUAL(0, Script.submit({"--wait", "10"}));
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, Script.Run.Client.Calls.size());
   }
@@ -99,7 +104,7 @@
     scripted_run Script({replyWith(200, R"({"state":"failed"})")});
     CPPUNIT_ASSERT_EQUAL(3, Script.submit());
   }
-  if (auto Given = section("given a document that is not a job")) {
+  if (auto Given = section("given an invalid job document, nothing is sent")) {
     scripted_run Script({replyWith(200, Completed)});
     Script.Run.Files["job.json"] = R"({"host":"jobs.example","tasks":0})";
     CPPUNIT_ASSERT_EQUAL(4, Script.submit());
@@ -108,22 +113,23 @@
   }
 });
 
-// Guards against answers that are shown as something else.
-const test_case Queries("state, cancel, waiting: answers", [] {
+// Guards against an answer that is printed as a different state, and against exit status 0 for an unknown
+// job.
+const test_case Queries("state, cancel, waiting: answers are printed as received", [] {
   scripted_run Script({replyWith(200, R"({"state":"running"})")});
-  if (auto When = section("when a job is asked for")) {
+  if (auto When = section("when the state of a job is requested")) {
     CPPUNIT_ASSERT_EQUAL(0, Script.Run.run({"state", "5c0e7a21d94b36f8", "--queue", "jobs.example/jobs/",
                                             "--entry", "127.0.0.1:1", "--json"}));
     CPPUNIT_ASSERT_EQUAL(std::string(R"({"id":"5c0e7a21d94b36f8","outcome":"pending"})"
                                      "\n"),
                          Script.Run.Out);
   }
-  if (auto When = section("when a job is cancelled that is not known")) {
+  if (auto When = section("when an unknown job is cancelled")) {
     Script.Replies = {replyWith(410, "{}")};
     CPPUNIT_ASSERT_EQUAL(1, Script.Run.run({"cancel", "5c0e7a21d94b36f8", "--queue", "jobs.example/jobs/",
                                             "--entry", "127.0.0.1:1"}));
   }
-  if (auto When = section("when a queue is asked for")) {
+  if (auto When = section("when the number of waiting jobs is requested")) {
     Script.Replies = {replyWith(200, R"({"waiting_count":12})")};
     CPPUNIT_ASSERT_EQUAL(0, Script.Run.run({"waiting", "jobs.example/jobs/", "--entry", "127.0.0.1:1"}));
     CPPUNIT_ASSERT_EQUAL(std::string("12 jobs wait\n"), Script.Run.Out);
--- a/src/yuccaplank/cli/yuccaplank_main.cpp
+++ b/src/yuccaplank/cli/yuccaplank_main.cpp
@@ -1,4 +1,4 @@
-// Command-line tool for callers and operators.
+// Entry point of the command-line tool for callers and operators.
 #include "yuccaplank/cli/command.hpp"
 #include "yuccaplank/runtime/loop.hpp"
 
@@ -22,7 +22,7 @@
     return std::string(Value ? Value : "");
   };
   std::vector<std::string> Words(Arguments + 1, Arguments + Count);
-  cli::exit_status Status = cli::runCli(Words, Environment, cli::processConsole(), Requester,
+  cli::exit_status Status = cli::runCli(Words, Environment, cli::makeProcessConsole(), Requester,
                                         [&] { return fmt::format("{:016x}", Random()); });
   return static_cast<int>(Status);
 }
