--- a/scripts/lib/bench.py
+++ b/scripts/lib/bench.py
@@ -1,4 +1,4 @@
-"""Measures the daemon on real processes, and the decision code on simulated time."""
+"""Measures the daemon in real processes, and the dispatch code in simulated time."""
 import argparse
 import json
 import os
@@ -12,11 +12,11 @@
 
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 DOMAINS = {"d1": 2, "d2": 2, "d3": 1, "d4": 1}
-WORKERS = 48
+SERVER_COUNT = 48
 SIMULATED_DAYS = 200
 
 
-def emit(name, value, unit):
+def print_figure(name, value, unit):
     print(json.dumps({"name": name, "value": round(value, 4), "unit": unit}), flush=True)
 
 
@@ -31,8 +31,9 @@
         return int(re.search(r"VmRSS:\s+(\d+)", status.read()).group(1)) / 1024
 
 
-def load(system, *arguments, timeout=300):
-    command = [str(system.build / "yuccaplank-load"), "--entries", system.entries(), "--queue", fleet.QUEUE, *arguments]
+def run_load(system, *arguments, timeout=300):
+    command = [str(system.build / "yuccaplank-load"), "--entries", system.entry_addresses(), "--queue", fleet.QUEUE,
+               *arguments]
     result = subprocess.run(command, capture_output=True, text=True, timeout=timeout)
     values = {entry["name"]: entry["value"] for entry in map(json.loads, result.stdout.splitlines())}
     if "latency_p50" not in values:
@@ -41,36 +42,38 @@
 
 
 def calm_section(options):
-    """Six entry VMs, 48 servers of equal speed: what an answer adds to its work, and what a VM takes."""
+    """Runs a fault-free load on six entry VMs and 48 backend servers of equal speed.
+
+    Measures the latency added to the running time of the tasks, and the processor time and memory of a VM."""
     with tempfile.TemporaryDirectory(prefix="yuccaplank-bench-") as directory:
-        system = fleet.Fleet(directory, DOMAINS, WORKERS, base_port=options.base_port, equal=True)
+        system = fleet.Fleet(directory, DOMAINS, SERVER_COUNT, base_port=options.base_port, equal=True)
         try:
             system.start()
             processes = [vm.process.pid for vm in system.vms.values()]
-            used, begun = sum(map(cpu_seconds, processes)), time.monotonic()
-            values = load(system, "--rate", "80", "--seconds", str(options.seconds), "--tasks", "1-4", "--task-spread",
-                          "0", "--declared-spread", "0", "--seed", str(options.seed))
-            elapsed = time.monotonic() - begun
-            used = sum(map(cpu_seconds, processes)) - used
+            cpu_start_s, start = sum(map(cpu_seconds, processes)), time.monotonic()
+            values = run_load(system, "--rate", "80", "--seconds", str(options.seconds), "--tasks", "1-4",
+                              "--task-spread", "0", "--declared-spread", "0", "--seed", str(options.seed))
+            elapsed = time.monotonic() - start
+            cpu_used_s = sum(map(cpu_seconds, processes)) - cpu_start_s
             for name in ("added_p50", "added_p90", "added_p99"):
-                emit(f"calm_{name}", values[name], "ms")
-            emit("calm_jobs_in_time_share", values["jobs_in_time"] / max(1, values["jobs_completed"]), "ratio")
-            emit("calm_vm_processor", used / elapsed / len(processes) * 100, "% of a core")
-            emit("calm_vm_memory", max(map(resident_mb, processes)), "MB")
+                print_figure(f"calm_{name}", values[name], "ms")
+            print_figure("calm_jobs_in_time_share", values["jobs_in_time"] / max(1, values["jobs_completed"]), "ratio")
+            print_figure("calm_vm_processor", cpu_used_s / elapsed / len(processes) * 100, "% of a core")
+            print_figure("calm_vm_memory", max(map(resident_mb, processes)), "MB")
         finally:
             system.stop()
 
 
 def simulate_section(options):
-    """Random days with faults on simulated time."""
-    begun = time.monotonic()
+    """Simulates random days with faults, and measures the speed of the simulation."""
+    start = time.monotonic()
     result = subprocess.run([str(fleet.ROOT / "build" / "yuccaplank-simulate"), "--seed", str(options.seed), "--days",
                              str(SIMULATED_DAYS)], capture_output=True, text=True)
-    elapsed = time.monotonic() - begun
+    elapsed = time.monotonic() - start
     starts = int(re.search(r"(\d+) starts", result.stdout).group(1))
-    emit("simulated_days_per_s", SIMULATED_DAYS / elapsed, "1/s")
-    emit("simulated_starts_per_s", starts / elapsed, "1/s")
-    emit("simulated_breaches", result.returncode, "count")
+    print_figure("simulated_days_per_s", SIMULATED_DAYS / elapsed, "1/s")
+    print_figure("simulated_starts_per_s", starts / elapsed, "1/s")
+    print_figure("simulated_breaches", result.returncode, "count")
 
 
 SECTIONS = {"calm": calm_section, "simulate": simulate_section}
