--- a/scripts/lib/bench.py
+++ b/scripts/lib/bench.py
@@ -20,13 +20,13 @@
     print(json.dumps({"name": name, "value": round(value, 4), "unit": unit}), flush=True)
 
 
-def cpu_seconds(pid):
+def read_cpu_seconds(pid):
     with open(f"/proc/{pid}/stat", encoding="ascii") as stat:
         fields = stat.read().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
-def resident_mb(pid):
+def read_resident_mb(pid):
     with open(f"/proc/{pid}/status", encoding="ascii") as status:
         return int(re.search(r"VmRSS:\s+(\d+)", status.read()).group(1)) / 1024
 
@@ -41,7 +41,7 @@
     return values
 
 
-def calm_section(options):
+def run_calm_section(options):
     """Runs a fault-free load on six entry VMs and 48 backend servers of equal speed.
 
     Measures the latency added to the running time of the tasks, and the processor time and memory of a VM."""
@@ -50,21 +50,21 @@
         try:
             system.start()
             processes = [vm.process.pid for vm in system.vms.values()]
-            cpu_start_s, start = sum(map(cpu_seconds, processes)), time.monotonic()
+            cpu_start_s, start = sum(map(read_cpu_seconds, processes)), time.monotonic()
             values = run_load(system, "--rate", "80", "--seconds", str(options.seconds), "--tasks", "1-4",
                               "--task-spread", "0", "--declared-spread", "0", "--seed", str(options.seed))
             elapsed = time.monotonic() - start
-            cpu_used_s = sum(map(cpu_seconds, processes)) - cpu_start_s
+            cpu_used_s = sum(map(read_cpu_seconds, processes)) - cpu_start_s
             for name in ("added_p50", "added_p90", "added_p99"):
                 print_figure(f"calm_{name}", values[name], "ms")
             print_figure("calm_jobs_in_time_share", values["jobs_in_time"] / max(1, values["jobs_completed"]), "ratio")
             print_figure("calm_vm_processor", cpu_used_s / elapsed / len(processes) * 100, "% of a core")
-            print_figure("calm_vm_memory", max(map(resident_mb, processes)), "MB")
+            print_figure("calm_vm_memory", max(map(read_resident_mb, processes)), "MB")
         finally:
             system.stop()
 
 
-def simulate_section(options):
+def run_simulate_section(options):
     """Simulates random days with faults, and measures the speed of the simulation."""
     start = time.monotonic()
     result = subprocess.run([str(fleet.ROOT / "build" / "yuccaplank-simulate"), "--seed", str(options.seed), "--days",
@@ -76,7 +76,7 @@
     print_figure("simulated_breaches", result.returncode, "count")
 
 
-SECTIONS = {"calm": calm_section, "simulate": simulate_section}
+SECTIONS = {"calm": run_calm_section, "simulate": run_simulate_section}
 
 
 def main():
