--- a/src/yuccaplank/simulation/fleet_simulation.cpp
+++ b/src/yuccaplank/simulation/fleet_simulation.cpp
@@ -261,7 +261,8 @@
         if (Submitted.Attempt != Attempt || !Submitted.CallerWaits)
           return;
         const std::string Queue = Submitted.Kind ? Submitted.Kind->Queue : QueueName;
-        Process->Vm->jobs().submit(*Process->Vm->current()->findQueue("", Queue), Submitted.Request);
+        Process->Vm->jobs().submit(*Process->Vm->currentConfiguration()->findQueue("", Queue),
+                                   Submitted.Request);
       })();
     });
   }
