--- a/include/yuccaplank/platform/caller_client.hpp
+++ b/include/yuccaplank/platform/caller_client.hpp
@@ -55,11 +55,11 @@
 wire::http_call makeSubmitCall(const std::string &Entry, const queue_address &Queue, const caller_job &Job);
 wire::http_call makeStateCall(const std::string &Entry, const queue_address &Queue, std::uint64_t Job);
 wire::http_call makeCancelCall(const std::string &Entry, const queue_address &Queue, std::uint64_t Job);
-wire::http_call makeWaitingCall(const std::string &Entry, const queue_address &Queue);
+wire::http_call makeWaitingCountCall(const std::string &Entry, const queue_address &Queue);
 
 /// Answer to a call about a job.
 caller_answer decodeCallerAnswer(const wire::http_call_result &Result);
 /// Jobs of a queue of which no task has started; nothing without a readable answer.
-std::optional<std::uint32_t> decodeWaiting(const wire::http_call_result &Result);
+std::optional<std::uint32_t> decodeWaitingCount(const wire::http_call_result &Result);
 
 } // namespace yuccaplank::platform
--- a/include/yuccaplank/platform/documents.hpp
+++ b/include/yuccaplank/platform/documents.hpp
@@ -60,6 +60,6 @@
 /// Body of the answer about a job.
 std::string encodeState(shown_state State);
 /// Body of the answer about a queue.
-std::string encodeWaiting(std::uint32_t Waiting);
+std::string encodeWaitingCount(std::uint32_t Waiting);
 
 } // namespace yuccaplank::platform
--- a/include/yuccaplank/runtime/loop.hpp
+++ b/include/yuccaplank/runtime/loop.hpp
@@ -17,9 +17,9 @@
   /// Ends run() after the current function.
   virtual void stop() = 0;
   /// Calls Handler on the loop for each of the signals SIGTERM, SIGINT and SIGHUP.
-  virtual void onSignal(std::function<void(int Signal)> Handler) = 0;
+  virtual void setSignalHandler(std::function<void(int Signal)> Handler) = 0;
   /// Calls Handler first when the loop has not run for Threshold or longer, for example after SIGSTOP.
-  virtual void onPause(duration Threshold, std::function<void(duration Pause)> Handler) = 0;
+  virtual void setPauseHandler(duration Threshold, std::function<void(duration Pause)> Handler) = 0;
 };
 
 std::unique_ptr<loop> makeLoop();
--- a/src/yuccaplank/cli/job_commands.cpp
+++ b/src/yuccaplank/cli/job_commands.cpp
@@ -168,9 +168,9 @@
   }
   entry_session Session = makeSession(Context);
   auto Result =
-      Session.ask([&](const std::string &Entry) { return platform::makeWaitingCall(Entry, *Queue); },
+      Session.ask([&](const std::string &Entry) { return platform::makeWaitingCountCall(Entry, *Queue); },
                   Context.Invocation.Global.Timeout);
-  auto Waiting = platform::decodeWaiting(Result);
+  auto Waiting = platform::decodeWaitingCount(Result);
   if (!Waiting) {
     Context.Console.error(
         Result.Error ? fmt::format("no answer: {}.", Result.Error.message())
--- a/src/yuccaplank/entry/fleet_test.cpp
+++ b/src/yuccaplank/entry/fleet_test.cpp
@@ -162,8 +162,8 @@
     CPPUNIT_ASSERT_EQUAL(404, Answer.Status);
   }
   if (auto When = section("when a queue's length is asked for")) {
-    auto Waiting = platform::decodeWaiting(
-        Fleet.exchange(platform::makeWaitingCall(Fleet.Settings[1].CallerAddress, Fleet.queue())));
+    auto Waiting = platform::decodeWaitingCount(
+        Fleet.exchange(platform::makeWaitingCountCall(Fleet.Settings[1].CallerAddress, Fleet.queue())));
     CPPUNIT_ASSERT(Waiting == std::uint32_t{0});
   }
   if (auto When = section("when a job is cancelled through another VM")) {
--- a/src/yuccaplank/entry/frontend.cpp
+++ b/src/yuccaplank/entry/frontend.cpp
@@ -117,7 +117,7 @@
     }
     std::string_view Id = std::string_view(Request.Path).substr(Queue->PathPrefix.size());
     if (Id.empty() && Request.Method == "GET") {
-      Handlers.Reply(Request.Token, makeReply(200, platform::encodeWaiting(Vm.waiting(Queue->Name))));
+      Handlers.Reply(Request.Token, makeReply(200, platform::encodeWaitingCount(Vm.waiting(Queue->Name))));
       return;
     }
     auto Job = platform::parseJobId(Id);
--- a/src/yuccaplank/entry/vm_process.cpp
+++ b/src/yuccaplank/entry/vm_process.cpp
@@ -84,8 +84,8 @@
   }
 
   int run() override {
-    Loop.onSignal([this](int Signal) { onSignal(Signal); });
-    Loop.onPause(PauseLimit, [this](runtime::duration Pause) {
+    Loop.setSignalHandler([this](int Signal) { onSignal(Signal); });
+    Loop.setPauseHandler(PauseLimit, [this](runtime::duration Pause) {
       log(log_level::Warning, "paused", {{"pause_ms", runtime::toMs(Pause)}});
       Vm->onPause();
     });
--- a/src/yuccaplank/load/yuccaplank_load_main.cpp
+++ b/src/yuccaplank/load/yuccaplank_load_main.cpp
@@ -28,7 +28,7 @@
   auto Loop = runtime::makeLoop();
   auto Client = wire::makeHttpClient(*Loop);
   auto Run = load::makeLoadRun(*Loop, *Client, Options, printLines);
-  Loop->onSignal([&](int) { Run->stopArrivals(); });
+  Loop->setSignalHandler([&](int) { Run->stopArrivals(); });
   Run->start([&] { Loop->stop(); });
   Loop->run();
   printLines(Run->result().report());
--- a/src/yuccaplank/platform/caller_client.cpp
+++ b/src/yuccaplank/platform/caller_client.cpp
@@ -62,7 +62,7 @@
   json Body = parseJson(Result.Body);
   std::vector<field_issue> Issues;
   std::string State;
-  object_reader(Body, "", Issues).text("state", State);
+  object_reader(Body, "", Issues).requiredText("state", State);
   for (const state_entry &Entry : States)
     if (Entry.Name == State)
       return {Entry.Outcome, 0, State};
@@ -96,7 +96,7 @@
   return makeCall("DELETE", Entry, Queue, idText(Job));
 }
 
-wire::http_call makeWaitingCall(const std::string &Entry, const queue_address &Queue) {
+wire::http_call makeWaitingCountCall(const std::string &Entry, const queue_address &Queue) {
   return makeCall("GET", Entry, Queue, "");
 }
 
@@ -108,13 +108,13 @@
   return {outcomeOfStatus(Result.Status), retryAfter(Result), fmt::format("HTTP status {}", Result.Status)};
 }
 
-std::optional<std::uint32_t> decodeWaiting(const wire::http_call_result &Result) {
+std::optional<std::uint32_t> decodeWaitingCount(const wire::http_call_result &Result) {
   if (Result.Error || Result.Status != 200)
     return std::nullopt;
   json Body = parseJson(Result.Body);
   std::vector<field_issue> Issues;
   std::uint32_t Waiting = 0;
-  object_reader(Body, "", Issues).integer("waiting_count", Waiting);
+  object_reader(Body, "", Issues).requiredInteger("waiting_count", Waiting);
   return Issues.empty() ? std::optional(Waiting) : std::nullopt;
 }
 
--- a/src/yuccaplank/platform/documents.cpp
+++ b/src/yuccaplank/platform/documents.cpp
@@ -30,10 +30,10 @@
                                    std::vector<field_issue> &Issues) {
   dispatch::queue_settings Queue;
   object_reader Reader(Value, Path, Issues);
-  Reader.text("name", Queue.Name);
-  Reader.text("host", Queue.Host);
-  Reader.text("path_prefix", Queue.PathPrefix);
-  Reader.text("service", Queue.Pool);
+  Reader.requiredText("name", Queue.Name);
+  Reader.requiredText("host", Queue.Host);
+  Reader.requiredText("path_prefix", Queue.PathPrefix);
+  Reader.requiredText("service", Queue.Pool);
   Reader.optionalInteger("priority", Queue.Priority);
   Reader.optionalInteger("max_attempts", Queue.MaxAttempts);
   Reader.optionalNumber("stretch", Queue.Stretch);
@@ -46,7 +46,7 @@
 step_document readStep(const json &Value, const std::string &Path, std::vector<field_issue> &Issues) {
   step_document Step;
   object_reader Reader(Value, Path, Issues);
-  Reader.integer("count", Step.TaskCount);
+  Reader.requiredInteger("count", Step.TaskCount);
   readSize(Value, Path, Step.TaskSize, Issues);
   Reader.optionalInteger("estimated_ms", Step.EstimateMs);
   Step.Dependencies = Reader.child("after", false, true).size();
@@ -70,7 +70,7 @@
   std::vector<field_issue> Issues;
   dispatch::configuration Configuration;
   object_reader Reader(Document, "", Issues);
-  Reader.integer("version", Configuration.Version);
+  Reader.requiredInteger("version", Configuration.Version);
   std::size_t Index = 0;
   for (const json &Route : Reader.child("routes", true, true))
     Configuration.Queues.push_back(readQueue(Route, "routes[" + std::to_string(Index++) + "]", Issues));
@@ -88,10 +88,10 @@
   Entry.Target.Id = Id;
   std::string State;
   object_reader Reader(Document, "", Issues);
-  Reader.text("service", Entry.Pool);
-  Reader.text("address", Entry.Target.Address);
-  Reader.text("zone", Entry.Domain);
-  Reader.text("state", State);
+  Reader.requiredText("service", Entry.Pool);
+  Reader.requiredText("address", Entry.Target.Address);
+  Reader.requiredText("zone", Entry.Domain);
+  Reader.requiredText("state", State);
   readSize(Reader.child("capacity", true, false), "capacity", Entry.Capacity, Issues);
   for (const json &Label : Reader.child("labels", false, true))
     if (Label.is_string() && isRack(Label.get<std::string>()))
@@ -134,6 +134,6 @@
   return json{{"state", StateNames.at(static_cast<std::size_t>(State))}}.dump();
 }
 
-std::string encodeWaiting(std::uint32_t Waiting) { return json{{"waiting_count", Waiting}}.dump(); }
+std::string encodeWaitingCount(std::uint32_t Waiting) { return json{{"waiting_count", Waiting}}.dump(); }
 
 } // namespace yuccaplank::platform
--- a/src/yuccaplank/platform/json_reader.hpp
+++ b/src/yuccaplank/platform/json_reader.hpp
@@ -34,9 +34,9 @@
   }
 
   /// Required fields.
-  void text(const char *Name, std::string &Value) { read(Name, Value, true, &json::is_string); }
-  void number(const char *Name, double &Value) { read(Name, Value, true, &json::is_number); }
-  template <typename Integer> void integer(const char *Name, Integer &Value) {
+  void requiredText(const char *Name, std::string &Value) { read(Name, Value, true, &json::is_string); }
+  void requiredNumber(const char *Name, double &Value) { read(Name, Value, true, &json::is_number); }
+  template <typename Integer> void requiredInteger(const char *Name, Integer &Value) {
     readInteger(Name, Value, true);
   }
 
--- a/src/yuccaplank/platform/settings.cpp
+++ b/src/yuccaplank/platform/settings.cpp
@@ -8,9 +8,9 @@
 
 void readListeners(object_reader &Reader, settings &Settings, std::vector<field_issue> &Issues) {
   object_reader Listeners(Reader.child("listen_addresses", true, false), "listen_addresses", Issues);
-  Listeners.text("frontend", Settings.CallerAddress);
-  Listeners.text("ready", Settings.ReadyAddress);
-  Listeners.text("control_plane", Settings.PeerAddress);
+  Listeners.requiredText("frontend", Settings.CallerAddress);
+  Listeners.requiredText("ready", Settings.ReadyAddress);
+  Listeners.requiredText("control_plane", Settings.PeerAddress);
 }
 
 void readSeeds(object_reader &Reader, settings &Settings, std::vector<field_issue> &Issues) {
@@ -30,13 +30,13 @@
     return {{runtime::errc::MalformedDocument, ""}};
   std::vector<field_issue> Issues;
   object_reader Reader(Document, "", Issues);
-  Reader.text("node", Settings.Vm);
-  Reader.text("zone", Settings.Domain);
-  Reader.text("ip", Settings.Ip);
+  Reader.requiredText("node", Settings.Vm);
+  Reader.requiredText("zone", Settings.Domain);
+  Reader.requiredText("ip", Settings.Ip);
   readListeners(Reader, Settings, Issues);
   readSeeds(Reader, Settings, Issues);
   object_reader Store(Reader.child("platform", true, false), "platform", Issues);
-  Store.text("address", Settings.StoreAddress);
+  Store.requiredText("address", Settings.StoreAddress);
   object_reader Limits(Reader.child("limits", false, false), "limits", Issues);
   Limits.optionalNumber("cpu_share", Settings.CpuShare);
   Limits.optionalInteger("memory_mb", Settings.MemoryMb);
--- a/src/yuccaplank/platform/store_client.cpp
+++ b/src/yuccaplank/platform/store_client.cpp
@@ -31,8 +31,8 @@
   store_row Row;
   std::string Encoded;
   object_reader Reader(Value, "rows", Issues);
-  Reader.text("key", Row.Key);
-  Reader.integer("version_number", Row.Version);
+  Reader.requiredText("key", Row.Key);
+  Reader.requiredInteger("version_number", Row.Version);
   Reader.optionalFlag("is_deleted", Row.Deleted);
   Reader.optionalText("value", Encoded);
   Row.Value = decodeBase64(Encoded).value_or("");
@@ -48,7 +48,7 @@
   object_reader Reader(Body, "", Issues);
   for (const json &Row : Reader.child("rows", true, true))
     Page.Rows.push_back(readRow(Row, Issues));
-  Reader.integer("version_number", Page.Version);
+  Reader.requiredInteger("version_number", Page.Version);
   Reader.optionalFlag("has_more", Page.HasMore);
   if (!Issues.empty())
     return make_error_code(errc::MalformedDocument);
@@ -61,7 +61,7 @@
   json Body = parseJson(Result.Body);
   std::vector<field_issue> Issues;
   std::uint64_t Version = 0;
-  object_reader(Body, "", Issues).integer("version_number", Version);
+  object_reader(Body, "", Issues).requiredInteger("version_number", Version);
   if (!Issues.empty())
     return make_error_code(errc::MalformedDocument);
   return Version;
--- a/src/yuccaplank/runtime/loop.cpp
+++ b/src/yuccaplank/runtime/loop.cpp
@@ -61,7 +61,7 @@
 
   void stop() override { Stopped = true; }
 
-  void onSignal(std::function<void(int)> Handler) override {
+  void setSignalHandler(std::function<void(int)> Handler) override {
     SignalHandler = std::move(Handler);
     sigset_t Set;
     sigemptyset(&Set);
@@ -76,7 +76,7 @@
     });
   }
 
-  void onPause(duration Threshold, std::function<void(duration)> Handler) override {
+  void setPauseHandler(duration Threshold, std::function<void(duration)> Handler) override {
     PauseThreshold = Threshold;
     PauseHandler = std::move(Handler);
   }
--- a/src/yuccaplank/standin/program.cpp
+++ b/src/yuccaplank/standin/program.cpp
@@ -38,7 +38,7 @@
 }
 
 void runUntilSignal(runtime::loop &Loop) {
-  Loop.onSignal([&](int Signal) {
+  Loop.setSignalHandler([&](int Signal) {
     if (Signal != SIGHUP)
       Loop.stop();
   });
--- a/src/yuccaplank/standin/store_service.cpp
+++ b/src/yuccaplank/standin/store_service.cpp
@@ -55,9 +55,9 @@
 row_name readName(const json &Value, std::vector<field_issue> &Issues) {
   row_name Name;
   object_reader Reader(Value, "row", Issues);
-  Reader.text("table", Name.Table);
+  Reader.requiredText("table", Name.Table);
   Reader.optionalText("part", Name.Part);
-  Reader.text("key", Name.Key);
+  Reader.requiredText("key", Name.Key);
   return Name;
 }
 
@@ -174,11 +174,11 @@
     for (const json &Row : Reader.child("expected_revision", false, true)) {
       expected_row &Expected = Transaction.Expected.emplace_back();
       Expected.Name = readName(Row, Issues);
-      object_reader(Row, "expected_revision", Issues).integer("version_number", Expected.Version);
+      object_reader(Row, "expected_revision", Issues).requiredInteger("version_number", Expected.Version);
     }
     for (const json &Row : Reader.child("puts", false, true)) {
       std::string Encoded;
-      object_reader(Row, "puts", Issues).text("value", Encoded);
+      object_reader(Row, "puts", Issues).requiredText("value", Encoded);
       auto Value = platform::decodeBase64(Encoded);
       if (!Value)
         Issues.push_back({runtime::errc::WrongType, "puts.value"});
--- a/src/yuccaplank/standin/worker.cpp
+++ b/src/yuccaplank/standin/worker.cpp
@@ -63,12 +63,12 @@
   order_body Order;
   std::string Task;
   object_reader Reader(Body, "", Issues);
-  Reader.text("task", Task);
-  Reader.integer("run", Order.Run.Run);
+  Reader.requiredText("task", Task);
+  Reader.requiredInteger("run", Order.Run.Run);
   Reader.optionalInteger("fencing_token", Order.FencingToken);
   if (IsStart) {
     Reader.optionalText("specification", Order.Specification);
-    Reader.integer("deadline_ms", Order.LeaseEndMs);
+    Reader.requiredInteger("deadline_ms", Order.LeaseEndMs);
   }
   auto Name = platform::parseTaskName(Task);
   if (!Issues.empty() || !Name)
