--- a/include/yuccaplank/runtime/clock.hpp
+++ b/include/yuccaplank/runtime/clock.hpp
@@ -1,4 +1,4 @@
-// Time sources. All code reads time through a clock, so that tests can pause and advance it.
+// Time sources. All code reads the time through a clock, so that tests can stop and advance it.
 #pragma once
 
 #include <chrono>
@@ -7,7 +7,7 @@
 namespace yuccaplank::runtime {
 
 using duration = std::chrono::nanoseconds;
-/// Names the monotonic clock in the type of its time points, so that they do not mix with other clocks'.
+/// Marks time points of the monotonic clock, so that they cannot be mixed with those of other clocks.
 struct clock_tag {
   using duration = runtime::duration;
   using rep = duration::rep;
@@ -23,7 +23,7 @@
   virtual ~clock() = default;
   /// Monotonic; its origin has no meaning.
   [[nodiscard]] virtual time_point now() const = 0;
-  /// Monotonic, and counts the time in which the machine was suspended, which now() leaves out.
+  /// Monotonic; unlike now(), includes the time during which the machine was suspended.
   [[nodiscard]] virtual time_point sinceBoot() const = 0;
   /// Milliseconds since the Unix epoch; may jump.
   [[nodiscard]] virtual std::int64_t unixMs() const = 0;
@@ -32,7 +32,7 @@
 /// Clock of the operating system.
 const clock &systemClock();
 
-/// Clock that moves only when told to.
+/// Clock that moves only in advance().
 class manual_clock final : public clock {
 public:
   explicit manual_clock(std::int64_t StartUnixMs = 1'700'000'000'000) : BaseUnixMs(StartUnixMs) {}
@@ -49,7 +49,7 @@
   time_point Current{};
 };
 
-/// Conversions between durations and milliseconds with fractions.
+/// Convert between durations and fractional milliseconds.
 inline double toMs(duration Value) { return std::chrono::duration<double, std::milli>(Value).count(); }
 inline duration fromMs(double Milliseconds) {
   return std::chrono::duration_cast<duration>(std::chrono::duration<double, std::milli>(Milliseconds));
--- a/include/yuccaplank/runtime/error.hpp
+++ b/include/yuccaplank/runtime/error.hpp
@@ -9,7 +9,7 @@
 
 namespace yuccaplank::runtime {
 
-/// Reasons for which reading a document, an exchange, or an operation fails.
+/// Reasons for the failure of reading a document, of a network exchange, or of another operation.
 enum class errc : std::uint8_t {
   Ok = 0,
   // Input
@@ -40,7 +40,7 @@
 const std::error_category &errorCategory();
 std::error_code make_error_code(errc Code); // NOLINT(readability-identifier-naming): found by ADL
 
-/// Value or std::error_code.
+/// A value or a std::error_code.
 template <typename T> using result = BOOST_OUTCOME_V2_NAMESPACE::std_result<T>;
 
 } // namespace yuccaplank::runtime
--- a/include/yuccaplank/runtime/executor.hpp
+++ b/include/yuccaplank/runtime/executor.hpp
@@ -1,4 +1,4 @@
-// Runs functions later. The daemon uses the event loop; tests use a manual executor on a manual clock.
+// Runs functions later. The daemon uses the event loop; tests use a manual executor with a manual clock.
 #pragma once
 
 #include "yuccaplank/runtime/clock.hpp"
@@ -26,16 +26,16 @@
   virtual void cancel(timer_id Timer) = 0;
 };
 
-/// Cancels a timer, if there is one, and forgets it.
+/// Cancels the timer, if there is one, and sets Timer to 0.
 inline void cancelTimer(executor &Executor, timer_id &Timer) { Executor.cancel(std::exchange(Timer, 0)); }
 
-/// Executor for tests: time passes only in advance(), which runs due timers in order.
+/// Executor for tests. Time passes only in advance(), which runs the due timers in order.
 class manual_executor : public executor {
 public:
-  /// Runs posted functions and everything that becomes due within Step.
+  /// Runs posted functions and all timers that become due within Step, and advances the clock by Step.
   virtual void advance(duration Step) = 0;
-  /// Runs posted functions until none is left; time stands still.
-  virtual void settle() = 0;
+  /// Runs posted functions until none is left, without advancing the clock.
+  virtual void runPosted() = 0;
 };
 
 std::unique_ptr<manual_executor> makeManualExecutor();
--- a/include/yuccaplank/runtime/lifetime.hpp
+++ b/include/yuccaplank/runtime/lifetime.hpp
@@ -1,4 +1,4 @@
-// Drops functions that run later than the object that they refer to lives.
+// Disables deferred functions once the object that they refer to no longer exists.
 #pragma once
 
 #include <memory>
@@ -6,7 +6,7 @@
 
 namespace yuccaplank::runtime {
 
-/// A member of an object whose functions are handed to an executor or to a callback.
+/// Member of an object that passes functions referring to itself to executors or as callbacks.
 class lifetime {
 public:
   lifetime() = default;
@@ -14,7 +14,7 @@
   lifetime &operator=(const lifetime &) = delete;
   ~lifetime() = default;
 
-  /// The function, which does nothing once this lifetime has ended or has begun anew.
+  /// Wraps a function so that it does nothing once this lifetime has ended or has been renewed.
   template <typename Function> auto guard(Function Guarded) const {
     return [Weak = std::weak_ptr<int>(Token), Guarded = std::move(Guarded)](auto &&...Arguments) mutable {
       if (!Weak.expired())
@@ -22,7 +22,7 @@
     };
   }
 
-  /// Functions guarded so far do nothing any more.
+  /// Disables all functions guarded so far.
   void renew() { Token = std::make_shared<int>(0); }
 
 private:
--- a/include/yuccaplank/runtime/log.hpp
+++ b/include/yuccaplank/runtime/log.hpp
@@ -1,4 +1,5 @@
-// Structured log: one JSON object a line, on standard error unless told otherwise.
+// Structured log with one JSON object per line. It goes to standard error unless logToStandardOutput() is
+// called.
 #pragma once
 
 #include <cstdint>
@@ -18,15 +19,15 @@
   log_value Value;
 };
 
-/// Writes `{"time":…,"level":…,"event":…,fields…}`. At most 20 lines a second per event are written; the
-/// next line written for the event then carries the number suppressed.
+/// Writes `{"time_ms":…,"level":…,"event":…,fields…}`. At most 20 lines per second are written for each
+/// event; the next line written for the event holds the number of suppressed lines.
 void log(log_level Level, std::string_view Event, std::initializer_list<log_field> Fields = {});
 
-/// Writes to standard output from now on, without ever waiting for a reader of a pipe; lines that do not fit
-/// are counted.
+/// Redirects the log to standard output. If that is a pipe, writes never block: lines that do not fit are
+/// dropped and counted.
 void logToStandardOutput();
 
-/// Lines below Level are dropped; the default is Info.
+/// Sets the lowest level that is written; the default is Info.
 void setLogLevel(log_level Level);
 
 } // namespace yuccaplank::runtime
--- a/include/yuccaplank/runtime/loop.hpp
+++ b/include/yuccaplank/runtime/loop.hpp
@@ -7,7 +7,7 @@
 
 namespace yuccaplank::runtime {
 
-/// Executor that also drives sockets. One thread per loop.
+/// Executor that also drives sockets. Each loop belongs to one thread.
 class loop : public executor {
 public:
   /// Handle for h2o's socket functions.
@@ -16,9 +16,10 @@
   virtual void run() = 0;
   /// Ends run() after the current function.
   virtual void stop() = 0;
-  /// Calls Handler on the loop for each of the signals SIGTERM, SIGINT and SIGHUP.
+  /// Makes the loop call Handler for the signals SIGTERM, SIGINT and SIGHUP.
   virtual void setSignalHandler(std::function<void(int Signal)> Handler) = 0;
-  /// Calls Handler first when the loop has not run for Threshold or longer, for example after SIGSTOP.
+  /// Makes the loop call Handler before anything else if it has not run for Threshold or longer, for example
+  /// after SIGSTOP.
   virtual void setPauseHandler(duration Threshold, std::function<void(duration Pause)> Handler) = 0;
 };
 
--- a/include/yuccaplank/runtime/metric_family.hpp
+++ b/include/yuccaplank/runtime/metric_family.hpp
@@ -1,11 +1,11 @@
-// Single values as metrics of Prometheus.
+// Creates Prometheus metrics with a single value.
 #pragma once
 
 #include <prometheus/metric_family.h>
 
 namespace yuccaplank::runtime {
 
-/// A family with one value; Type is a counter or a gauge.
+/// Returns a family with one value; Type must be Counter or Gauge.
 prometheus::MetricFamily makeMetricFamily(const char *Name, const char *Help, prometheus::MetricType Type,
                                           double Value);
 
--- a/include/yuccaplank/runtime/random.hpp
+++ b/include/yuccaplank/runtime/random.hpp
@@ -1,4 +1,4 @@
-// Seeded random numbers.
+// Seeded random number generator.
 #pragma once
 
 #include "yuccaplank/runtime/clock.hpp"
@@ -10,14 +10,14 @@
 
 namespace yuccaplank::runtime {
 
-/// Generator with a fixed sequence per seed.
+/// Generator whose sequence is determined by its seed.
 class random {
 public:
   explicit random(std::uint64_t Seed) : Engine(Seed) {}
   /// Uniform in [0, 1).
   double uniform() { return std::uniform_real_distribution<double>(0, 1)(Engine); }
-  /// Period changed by up to Fraction of it either way.
-  duration spread(duration Period, double Fraction) {
+  /// Returns Period lengthened or shortened by a random part of at most Fraction of it.
+  duration jitter(duration Period, double Fraction) {
     return std::chrono::duration_cast<duration>(Period * (1 + Fraction * (2 * uniform() - 1)));
   }
   /// Uniform over all 64-bit values.
--- a/src/yuccaplank/runtime/descriptor_limit.hpp
+++ b/src/yuccaplank/runtime/descriptor_limit.hpp
@@ -1,4 +1,4 @@
-// Limit on open file descriptors of the process.
+// Limit on the open file descriptors of the process.
 #pragma once
 
 namespace yuccaplank::runtime {
--- a/src/yuccaplank/runtime/log.cpp
+++ b/src/yuccaplank/runtime/log.cpp
@@ -24,7 +24,7 @@
 };
 
 int OutputFd = STDERR_FILENO;
-// Lines that the reader of a full pipe has not made room for.
+// Lines that could not be written because the pipe was full, or because of another error.
 std::int64_t DroppedLines = 0;
 log_level MinimumLevel = log_level::Info;
 std::map<std::string, event_rate, std::less<>> Rates;
--- a/src/yuccaplank/runtime/loop.cpp
+++ b/src/yuccaplank/runtime/loop.cpp
@@ -16,8 +16,8 @@
 namespace yuccaplank::runtime {
 namespace {
 
-// Upper bound of one poll, so that a pause of the process is noticed even when nothing happens.
-constexpr std::int32_t MaxWaitMs = 100;
+// Limits each poll, so that a pause of the process is detected even without events.
+constexpr std::int32_t MaxPollMs = 100;
 
 class loop_impl final : public loop {
 public:
@@ -27,11 +27,13 @@
   ~loop_impl() override {
     if (SignalSocket)
       h2o_socket_close(SignalSocket);
-    // Closed connections end in the next turn, and functions that own what remains of a server go after it.
+    // h2o disposes of closed connections in the next iteration. Posted functions may own the rest of a
+    // server, so they are destroyed after that.
     h2o_evloop_run(Native, 0);
     Posted.clear();
     h2o_evloop_run(Native, 0);
-    // h2o aborts on time-outs that are still registered, for example by a server with open connections.
+    // The loop is left undestroyed if timeouts are still registered, for example by a server with open
+    // connections, because h2o would abort.
     if (h2o_linklist_is_empty(&Native->_timeouts))
       h2o_evloop_destroy(Native);
   }
@@ -45,7 +47,7 @@
   st_h2o_evloop_t *native() override { return Native; }
 
   void run() override {
-    LastTurn = clock().sinceBoot();
+    LastIteration = clock().sinceBoot();
     while (!Stopped) {
       checkPause();
       runPosted();
@@ -53,9 +55,9 @@
       if (Stopped)
         break;
       finishWrites();
-      h2o_evloop_run(Native, waitMs());
+      h2o_evloop_run(Native, pollTimeoutMs());
     }
-    // The loop may be run again.
+    // Allows a later call of run().
     Stopped = false;
   }
 
@@ -84,14 +86,14 @@
 private:
   void checkPause() {
     time_point Now = clock().sinceBoot();
-    duration Gap = Now - LastTurn;
-    LastTurn = Now;
-    if (PauseHandler && Gap >= PauseThreshold)
-      PauseHandler(Gap);
+    duration Pause = Now - LastIteration;
+    LastIteration = Now;
+    if (PauseHandler && Pause >= PauseThreshold)
+      PauseHandler(Pause);
   }
 
   void runPosted() {
-    // Functions posted meanwhile wait for the next turn, so that sockets are not starved.
+    // Functions posted by these functions wait for the next iteration, so that sockets are not starved.
     std::deque<std::function<void()>> Batch;
     Batch.swap(Posted);
     for (auto &Function : Batch)
@@ -104,19 +106,19 @@
       Timers.pop()();
   }
 
-  // Runs the callbacks of writes that posted functions and timers have made and that are complete. h2o
-  // expects this before it polls: a socket that is still polled for an earlier write would stay so after its
-  // callback, and h2o aborts when it becomes writable.
+  // Runs the callbacks of completed writes that posted functions and timers made. h2o expects this before it
+  // polls: otherwise a socket that is still polled for an earlier write remains polled after the callback,
+  // and h2o aborts when the socket becomes writable.
   void finishWrites() { h2o_timeout__do_post_callback(Native); }
 
-  [[nodiscard]] std::int32_t waitMs() const {
+  [[nodiscard]] std::int32_t pollTimeoutMs() const {
     if (!Posted.empty())
       return 0;
     auto Due = Timers.nextDue();
     if (!Due)
-      return MaxWaitMs;
+      return MaxPollMs;
     auto Wait = std::chrono::ceil<std::chrono::milliseconds>(*Due - clock().now()).count();
-    return static_cast<std::int32_t>(std::clamp<std::int64_t>(Wait, 0, MaxWaitMs));
+    return static_cast<std::int32_t>(std::clamp<std::int64_t>(Wait, 0, MaxPollMs));
   }
 
   void readSignals(int Fd) {
@@ -132,7 +134,7 @@
   h2o_socket_t *SignalSocket = nullptr;
   duration PauseThreshold{};
   std::function<void(duration)> PauseHandler;
-  time_point LastTurn{};
+  time_point LastIteration{};
   bool Stopped = false;
 };
 
--- a/src/yuccaplank/runtime/loop_test.cpp
+++ b/src/yuccaplank/runtime/loop_test.cpp
@@ -20,7 +20,7 @@
 
 constexpr std::size_t LargeBytes = 400'000;
 
-// A socket of the loop whose peer is read by hand.
+// A socket on the loop whose other end is read only by readAll().
 struct socket_pair {
   std::unique_ptr<runtime::loop> Loop = runtime::makeLoop();
   std::array<int, 2> Ends{};
@@ -59,9 +59,9 @@
   }
 };
 
-// Guards against an abort of the process: a write that a posted function makes right after a large one, while
-// the peer's buffer is full again, left the socket polled for a write that was over.
-const test_case Writes("loop: writes of posted functions to a slow reader", [] {
+// Guards against an abort of the process. It happens when a posted function writes right after a large write
+// while the peer's buffer is full again: the socket remains polled for a write that has already completed.
+const test_case Writes("loop: a posted function writes to a slow reader", [] {
   socket_pair Pair;
   Pair.write(Pair.Large);
   for (int Turn = 0; Turn < 50 && Pair.Written < 2; ++Turn) {
--- a/src/yuccaplank/runtime/manual_executor.cpp
+++ b/src/yuccaplank/runtime/manual_executor.cpp
@@ -15,7 +15,7 @@
   }
   void cancel(timer_id Timer) override { Timers.cancel(Timer); }
 
-  void settle() override {
+  void runPosted() override {
     while (!Posted.empty()) {
       auto Function = std::move(Posted.front());
       Posted.pop_front();
@@ -25,12 +25,12 @@
 
   void advance(duration Step) override {
     time_point End = Clock.now() + Step;
-    settle();
+    runPosted();
     for (auto Due = Timers.nextDue(); Due && *Due <= End; Due = Timers.nextDue()) {
       if (*Due > Clock.now())
         Clock.advance(*Due - Clock.now());
       Timers.pop()();
-      settle();
+      runPosted();
     }
     Clock.advance(End - Clock.now());
   }
