--- a/include/yuccaplank/platform/caller_client.hpp
+++ b/include/yuccaplank/platform/caller_client.hpp
@@ -1,4 +1,4 @@
-// What callers send to entry VMs and what they get back, as the platform's HTTP calls.
+// Encodes callers' requests to entry VMs as the platform's HTTP calls, and decodes the answers.
 #pragma once
 
 #include "dispatch.pb.h"
@@ -16,14 +16,14 @@
   std::string Path;
 };
 
-/// A job of equal tasks.
+/// A job whose tasks all have the same size and estimate.
 struct caller_job {
   std::uint64_t Id = 0;
   std::string Specification;
   std::uint32_t TaskCount = 1;
   schema::task_size TaskSize;
   std::uint32_t EstimateMs = 0;
-  /// How long the caller waits for the answer.
+  /// Time for which the caller waits for the answer; 0 leaves the default of the VM.
   std::uint32_t DeadlineMs = 0;
 };
 
@@ -33,33 +33,35 @@
   Cancelled,
   /// Queued or running.
   Pending,
-  /// Not run by this submission.
+  /// The job was not run by this submission and may be sent again.
   Refused,
-  /// Not run: the request is not one that an entry VM takes.
+  /// The job was not run because the request is invalid.
   Malformed,
-  /// No such queue, or no such job.
+  /// The queue or the job does not exist.
   NotFound,
-  /// Nothing is known; the job is to be sent again under the same id.
+  /// The outcome is unknown; the caller should resend the job under the same id.
   Unanswered,
 };
 
 struct caller_answer {
   caller_outcome Outcome = caller_outcome::Unanswered;
-  /// With Refused: when to come back.
+  /// Delay before the job should be sent again; set for Refused only.
   std::uint32_t RetryAfterS = 0;
-  /// State or HTTP status, for people.
+  /// State of the job, HTTP status or error, for display.
   std::string Detail;
 };
 
-/// Calls to one entry VM; Entry is its address.
-wire::http_call makeSubmitCall(const std::string &Entry, const queue_address &Queue, const caller_job &Job);
-wire::http_call makeStateCall(const std::string &Entry, const queue_address &Queue, std::uint64_t Job);
-wire::http_call makeCancelCall(const std::string &Entry, const queue_address &Queue, std::uint64_t Job);
-wire::http_call makeWaitingCountCall(const std::string &Entry, const queue_address &Queue);
+/// Calls to the entry VM at EntryAddress.
+wire::http_call makeSubmitCall(const std::string &EntryAddress, const queue_address &Queue,
+                               const caller_job &Job);
+wire::http_call makeStateCall(const std::string &EntryAddress, const queue_address &Queue, std::uint64_t Job);
+wire::http_call makeCancelCall(const std::string &EntryAddress, const queue_address &Queue,
+                               std::uint64_t Job);
+wire::http_call makeWaitingCountCall(const std::string &EntryAddress, const queue_address &Queue);
 
-/// Answer to a call about a job.
+/// Decodes the answer to a call about a job.
 caller_answer decodeCallerAnswer(const wire::http_call_result &Result);
-/// Jobs of a queue of which no task has started; nothing without a readable answer.
+/// Decodes the number of a queue's jobs that have started no task; nullopt if there is no readable answer.
 std::optional<std::uint32_t> decodeWaitingCount(const wire::http_call_result &Result);
 
 } // namespace yuccaplank::platform
--- a/include/yuccaplank/platform/documents.hpp
+++ b/include/yuccaplank/platform/documents.hpp
@@ -1,5 +1,5 @@
-// Documents that the platform's operators, backend servers and callers write, decoded into the product's
-// types.
+// Decodes documents written by operators, backend servers and callers into the product's types, and encodes
+// the replies to callers.
 #pragma once
 
 #include "yuccaplank/dispatch/configuration.hpp"
@@ -14,11 +14,11 @@
 
 namespace yuccaplank::platform {
 
-/// Operators' configuration. Errors: errc::MalformedDocument.
+/// Decodes the operators' configuration. Error: errc::MalformedDocument.
 runtime::result<dispatch::configuration> decodeConfiguration(std::string_view Text);
 
-/// A backend server's report about itself. Errors: errc::MalformedDocument for a report that names no usable
-/// server.
+/// Decodes the entry that a backend server writes about itself. Error: errc::MalformedDocument if the entry
+/// describes no usable server.
 runtime::result<dispatch::server_entry> decodeServer(const std::string &Id, std::string_view Text);
 
 /// One step of a submitted job.
@@ -26,40 +26,40 @@
   std::uint32_t TaskCount = 0;
   schema::task_size TaskSize;
   std::uint32_t EstimateMs = 0;
-  /// Earlier steps that must have ended.
+  /// Number of earlier steps that must have ended.
   std::size_t Dependencies = 0;
   bool Gang = false;
   bool LongRunning = false;
   bool FillsUnusedCapacity = false;
-  /// Label that a server must have.
+  /// Label that a server must have to run a task; empty for none.
   std::string RequiredLabel;
-  /// Tasks of the step that may run on one server; 0 means any number.
+  /// Maximum number of the step's tasks on one server; 0 means no limit.
   std::uint32_t MaxPerServer = 0;
 };
 
 struct job_document {
   std::string Specification;
   std::vector<step_document> Steps;
-  /// The answer is sent when the job has ended, and nobody asks later.
+  /// The caller waits for the answer and does not ask for it later, so the job need not be kept.
   bool BestEffort = false;
-  /// Runs of the whole job at set times; 0 means one run now.
+  /// Number of scheduled repetitions of the whole job; 0 means that it runs once, now.
   std::uint32_t Repetitions = 0;
 };
 
-/// Errors: errc::MalformedDocument.
+/// Decodes a submitted job. Error: errc::MalformedDocument.
 runtime::result<job_document> decodeJob(std::string_view Text);
 
-/// Header, in lower case, in which a caller tells how many milliseconds it waits for the answer.
+/// Name, in lower case, of the header with the number of milliseconds that a caller waits for the answer.
 inline constexpr const char *DeadlineHeader = "deadline-milliseconds";
 
-/// 16 hexadecimal digits; nothing for anything else.
+/// Parses an id of 16 hexadecimal digits; returns nullopt for any other text.
 std::optional<std::uint64_t> parseJobId(std::string_view Text);
 
-/// State of a job as callers see it.
-enum class shown_state : std::uint8_t { Queued, Running, Completed, Failed, Cancelled };
-/// Body of the answer about a job.
-std::string encodeState(shown_state State);
-/// Body of the answer about a queue.
+/// State of a job as reported to callers.
+enum class caller_job_state : std::uint8_t { Queued, Running, Completed, Failed, Cancelled };
+/// Encodes the body of a reply about a job.
+std::string encodeState(caller_job_state State);
+/// Encodes the body of a reply about a queue: the number of its waiting jobs.
 std::string encodeWaitingCount(std::uint32_t Waiting);
 
 } // namespace yuccaplank::platform
--- a/include/yuccaplank/platform/settings.hpp
+++ b/include/yuccaplank/platform/settings.hpp
@@ -1,4 +1,4 @@
-// Settings file that the platform writes for each process.
+// Reads the settings file that the platform writes for each process.
 #pragma once
 
 #include "yuccaplank/runtime/error.hpp"
@@ -10,22 +10,22 @@
 
 namespace yuccaplank::platform {
 
-/// Environment variable with the path of the settings file.
+/// Environment variable that holds the path of the settings file.
 inline constexpr const char *SettingsVariable = "YUCCAPLANK_BOOT";
 
 struct settings {
   /// Name of the VM.
   std::string Vm;
-  /// Failure domain.
+  /// Failure domain of the VM.
   std::string Domain;
   std::string Ip;
-  /// "ip:port" for callers, for the platform's readiness checks, and for other VMs.
+  /// Addresses "ip:port" on which the VM serves callers, the platform's readiness checks, and other VMs.
   std::string CallerAddress;
   std::string ReadyAddress;
   std::string PeerAddress;
-  /// Peer addresses of up to three VMs; may be stale.
+  /// Peer addresses of up to three VMs, some of which may no longer exist.
   std::vector<std::string> Seeds;
-  /// The platform's store.
+  /// Address of the platform's store.
   std::string StoreAddress;
   double CpuShare = 1;
   std::int64_t MemoryMb = 0;
@@ -33,19 +33,20 @@
   double GracePeriodS = 6;
   /// Longest lease that a backend server grants.
   std::uint32_t MaxLeaseMs = 1000;
-  /// Time after which callers send a job again whose connection broke.
-  std::uint32_t ResendMs = 1300;
-  std::uint32_t StopTimeMs = 50;
+  /// Time after which callers resend a job whose connection broke.
+  std::uint32_t ResendDelayMs = 1300;
+  /// Longest time from a stop order to the end of the run.
+  std::uint32_t StopTimeoutMs = 50;
 };
 
-/// What is wrong with a settings file.
+/// A fault in a settings file.
 struct settings_issue {
   runtime::errc Reason = runtime::errc::MalformedDocument;
-  /// Field, for example "limits.cpu_share".
+  /// Path of the field, for example "limits.cpu_share".
   std::string Path;
 };
 
-/// Reads a settings file; fields that are not known are ignored, as the platform asks. Returns all issues.
+/// Reads a settings file and returns all its faults. Unknown fields are ignored, as the platform requires.
 std::vector<settings_issue> readSettings(std::string_view Text, settings &Settings);
 
 } // namespace yuccaplank::platform
--- a/include/yuccaplank/platform/store_client.hpp
+++ b/include/yuccaplank/platform/store_client.hpp
@@ -1,4 +1,4 @@
-// The platform's store: tables of rows that change under conditions.
+// Client of the platform's store, which keeps versioned rows in tables.
 #pragma once
 
 #include "yuccaplank/runtime/error.hpp"
@@ -12,12 +12,12 @@
 
 namespace yuccaplank::platform {
 
-/// Tables that the platform fills, and keys in them.
+/// Names of the tables that the platform fills, and of keys in them.
 inline constexpr const char *OperatorTable = "op";
 inline constexpr const char *ConfigurationKey = "config";
 inline constexpr const char *ServerTable = "servers";
 
-/// A row; all rows read here lie in the part with the empty name.
+/// A row of a table. Only rows in the table's part with the empty name are read and written.
 struct store_row {
   std::string Key;
   std::string Value;
@@ -25,40 +25,43 @@
   bool Deleted = false;
 };
 
-/// Rows that one call returns at most.
+/// Maximum number of rows that one call returns.
 inline constexpr std::size_t MaxPageRows = 500;
 
 struct store_page {
   std::vector<store_row> Rows;
-  /// Newest version of the store.
+  /// Newest version in the store.
   std::uint64_t Version = 0;
   bool HasMore = false;
 };
 
-/// Errors of all calls: errc::PlatformUnavailable when nothing was done or nothing is known, errc::NotFound
-/// when the history asked for is no longer there, errc::MalformedDocument for a reply that cannot be read.
+/// Errors of all calls: errc::PlatformUnavailable if the call failed or its outcome is unknown,
+/// errc::NotFound if the store no longer keeps the requested history, errc::RevisionConflict if a row has
+/// another version, and errc::MalformedDocument if the reply cannot be read.
 class store_client {
 public:
   virtual ~store_client() = default;
-  /// Rows of a table as of one moment, from a key on (inclusive; empty for all).
+  /// Reads a page of a table's rows as of one moment, starting at the key From (inclusive; empty for the
+  /// first).
   virtual void rows(const std::string &Table, const std::string &From,
                     std::function<void(runtime::result<store_page>)> OnDone) = 0;
-  /// Rows changed after a version, as soon as there are any or the wait is over.
-  virtual void changes(const std::string &Table, std::uint64_t After, runtime::duration Wait,
+  /// Reads the rows that changed after the version After. The store replies as soon as there are any, or
+  /// without rows after LongPollTimeout.
+  virtual void changes(const std::string &Table, std::uint64_t After, runtime::duration LongPollTimeout,
                        std::function<void(runtime::result<store_page>)> OnDone) = 0;
-  /// Writes a row whatever it held; returns its version. After errc::PlatformUnavailable the write may have
-  /// been or may still be carried out.
+  /// Writes a row regardless of its previous value and returns its version. After errc::PlatformUnavailable
+  /// the write may have been carried out, or may still be carried out later.
   virtual void put(const std::string &Table, const std::string &Key, const std::string &Value,
                    std::function<void(runtime::result<std::uint64_t>)> OnDone) = 0;
-  /// Removes a row if it still has the version.
+  /// Removes a row if it still has the given version.
   virtual void remove(const std::string &Table, const std::string &Key, std::uint64_t Version,
                       std::function<void(runtime::result<std::uint64_t>)> OnDone) = 0;
 };
 
 struct store_client_options {
   std::string Address;
-  /// Time for a reply beyond the waiting time of the call. A connection that has gone silent is noticed by
-  /// it.
+  /// Timeout of a reply, in addition to the long-poll timeout of the call. It detects unresponsive
+  /// connections.
   runtime::duration ReplyTimeout = std::chrono::milliseconds(500);
 };
 
--- a/src/yuccaplank/entry/burn_recorder.cpp
+++ b/src/yuccaplank/entry/burn_recorder.cpp
@@ -6,35 +6,36 @@
 namespace yuccaplank::entry {
 namespace {
 
-// Resolution of the windows. 361 buckets of 1 minute take less than 6 KB for each queue.
-constexpr std::uint32_t BucketS = 60;
+// One bucket covers 1 minute; the 361 buckets of a queue take less than 6 KB.
+constexpr std::uint32_t BucketLengthS = 60;
 constexpr std::uint32_t LongestWindowS = BurnWindowsS[std::size(BurnWindowsS) - 1];
-// One bucket more than the longest window, since the current one is partial.
-constexpr std::size_t Buckets = LongestWindowS / BucketS + 1;
-// Names come from the configuration; queues beyond this number are not recorded.
+// One bucket is added to the longest window because the current bucket is partial.
+constexpr std::size_t BucketCount = LongestWindowS / BucketLengthS + 1;
+// Limits the memory; queue names come from the configuration, and queues beyond this number are not recorded.
 constexpr std::size_t MaxQueues = 4096;
 
-// Counts of one minute. Minute tells a current bucket from one of an earlier turn of the ring.
+// Counts of one minute. Minute tells whether the bucket is current or left from an earlier pass over the
+// ring.
 struct bucket {
   std::int64_t Minute = -1;
   std::uint32_t Good = 0;
   std::uint32_t Total = 0;
 };
 
-using ring = std::array<bucket, Buckets>;
+using ring = std::array<bucket, BucketCount>;
 
 class burn_recorder_impl final : public burn_recorder {
 public:
   explicit burn_recorder_impl(const runtime::clock &Clock) : Clock(Clock) {}
 
-  void record(const std::string &Queue, bool Good) override {
+  void record(const std::string &Queue, bool WithinObjective) override {
     if (Queues.size() >= MaxQueues && !Queues.contains(Queue))
       return;
-    std::int64_t Now = minute();
-    bucket &Bucket = Queues[Queue][static_cast<std::size_t>(Now) % Buckets];
+    std::int64_t Now = currentMinute();
+    bucket &Bucket = Queues[Queue][static_cast<std::size_t>(Now) % BucketCount];
     if (Bucket.Minute != Now)
       Bucket = {Now, 0, 0};
-    Bucket.Good += Good ? 1 : 0;
+    Bucket.Good += WithinObjective ? 1 : 0;
     ++Bucket.Total;
   }
 
@@ -50,14 +51,14 @@
   }
 
 private:
-  [[nodiscard]] std::int64_t minute() const {
+  [[nodiscard]] std::int64_t currentMinute() const {
     auto Seconds = std::chrono::duration_cast<std::chrono::seconds>(Clock.now().time_since_epoch()).count();
-    return Seconds / BucketS;
+    return Seconds / BucketLengthS;
   }
 
   void fillWindow(const ring &Ring, std::uint32_t WindowS, schema::burn_window &Window) const {
-    std::int64_t Newest = minute();
-    std::int64_t Oldest = Newest - WindowS / BucketS;
+    std::int64_t Newest = currentMinute();
+    std::int64_t Oldest = Newest - WindowS / BucketLengthS;
     std::uint64_t Good = 0;
     std::uint64_t Total = 0;
     for (const bucket &Bucket : Ring) {
--- a/src/yuccaplank/entry/burn_recorder.hpp
+++ b/src/yuccaplank/entry/burn_recorder.hpp
@@ -1,4 +1,4 @@
-// Jobs by queue in sliding windows, and how many of them were answered within their objective.
+// Counts the answered jobs of each queue in sliding windows, and how many met their objective.
 #pragma once
 
 #include "report.pb.h"
@@ -10,13 +10,15 @@
 
 namespace yuccaplank::entry {
 
-/// Windows of the report, in seconds: 5 minutes, 1 hour, 6 hours.
+/// Lengths of the windows in seconds: 5 minutes, 1 hour, 6 hours.
 inline constexpr std::uint32_t BurnWindowsS[] = {300, 3600, 21600};
 
 class burn_recorder {
 public:
   virtual ~burn_recorder() = default;
-  virtual void record(const std::string &Queue, bool Good) = 0;
+  /// Counts one answered job.
+  virtual void record(const std::string &Queue, bool WithinObjective) = 0;
+  /// Returns the counts of every recorded queue for each window.
   [[nodiscard]] virtual std::vector<schema::burn_queue> windows() const = 0;
 };
 
--- a/src/yuccaplank/entry/directory.cpp
+++ b/src/yuccaplank/entry/directory.cpp
@@ -15,15 +15,17 @@
 using runtime::log;
 using runtime::log_level;
 
-// Table of this product in the platform's store; one row for each VM that runs.
+// Table of this product in the platform's store, with one row for each running VM.
 constexpr const char *VmTable = "yuccaplank_vms";
-constexpr auto ConfigurationWait = std::chrono::seconds(1);
-// VMs that relay are told of a newer configuration by those that dispatch.
-constexpr auto RelayedConfigurationWait = std::chrono::seconds(8);
-// New VMs make themselves known to those that they know.
-constexpr auto VmWait = std::chrono::seconds(8);
-// Servers write their entries all the time; one that begins to leave has to be noticed within 2 s.
-constexpr auto ServerInterval = std::chrono::milliseconds(500);
+constexpr auto ConfigurationPollTimeout = std::chrono::seconds(1);
+// A VM that relays may notice an unresponsive store later, because the dispatchers notify it of a newer
+// configuration.
+constexpr auto RelayConfigurationPollTimeout = std::chrono::seconds(8);
+// Entries of new VMs may be noticed late, because a new VM itself contacts the VMs that it knows.
+constexpr auto VmPollTimeout = std::chrono::seconds(8);
+// Servers rewrite their entries continually, so polls are spaced out; a server that starts to drain has to be
+// noticed within 2 s.
+constexpr auto MinServerPollInterval = std::chrono::milliseconds(500);
 
 class directory_impl final : public directory {
 public:
@@ -32,49 +34,50 @@
       : Executor(Executor), Store(Store), Vm(Vm), Options(std::move(OptionsIn)) {
     table_watch_options Watch;
     Watch.Table = platform::OperatorTable;
-    Watch.Wait = RelayedConfigurationWait;
+    Watch.LongPollTimeout = RelayConfigurationPollTimeout;
     Configuration = makeTableWatch(Executor, Store, Watch, [this] { readConfiguration(); });
     Watch.Table = VmTable;
-    Watch.Wait = VmWait;
-    // All VMs of a fleet may register at the same time.
-    Watch.Interval = std::chrono::milliseconds(200);
+    Watch.LongPollTimeout = VmPollTimeout;
+    // Many rows may change at once, because all VMs of a fleet may register at the same time.
+    Watch.MinInterval = std::chrono::milliseconds(200);
     Vms = makeTableWatch(Executor, Store, Watch, [this] { readVms(); });
   }
   directory_impl(const directory_impl &) = delete;
   directory_impl &operator=(const directory_impl &) = delete;
   ~directory_impl() override = default;
 
-  void followServers(bool Follows) override {
-    Configuration->setWait(Follows ? runtime::duration(ConfigurationWait) : RelayedConfigurationWait);
-    if (!Follows) {
+  void setServerWatch(bool Enabled) override {
+    Configuration->setLongPollTimeout(Enabled ? runtime::duration(ConfigurationPollTimeout)
+                                              : RelayConfigurationPollTimeout);
+    if (!Enabled) {
       Servers.reset();
-      Entries.clear();
+      ServerRecords.clear();
       Vm.setServers({});
       return;
     }
     table_watch_options Watch;
     Watch.Table = platform::ServerTable;
-    Watch.Interval = ServerInterval;
+    Watch.MinInterval = MinServerPollInterval;
     Servers = makeTableWatch(Executor, Store, Watch, [this] { readServers(); });
   }
 
-  void removeStale(const std::string &Name) override {
+  void removeStaleEntry(const std::string &Name) override {
     auto Found = Vms->rows().find(Name);
-    if (Found == Vms->rows().end() || !Vms->current() || !Removing.insert(Name).second)
+    if (Found == Vms->rows().end() || !Vms->lastCallSucceeded() || !PendingRemovals.insert(Name).second)
       return;
     log(log_level::Warning, "stale_vm_removed", {{"vm", Name}});
     Store.remove(VmTable, Name, Found->second.Version,
-                 Lifetime.guard([this, Name](const auto &) { Removing.erase(Name); }));
+                 Lifetime.guard([this, Name](const auto &) { PendingRemovals.erase(Name); }));
   }
 
-  void setTerm(std::uint32_t Raised) override {
-    Term = std::max(Term, Raised);
-    if (Registered && !Writing && WrittenTerm != Term)
-      writeLater();
+  void setTerm(std::uint32_t NewTerm) override {
+    Term = std::max(Term, NewTerm);
+    if (Registered && !WritePending && WrittenTerm != Term)
+      scheduleWrite();
   }
 
   void unregister(std::function<void()> OnDone) override {
-    Leaving = true;
+    Unregistering = true;
     if (EntryVersion == 0) {
       OnDone();
       return;
@@ -93,33 +96,33 @@
     runtime::time_point Now = Executor.clock().now();
     std::set<std::string> Listed;
     for (const auto &[Id, Row] : Servers->rows()) {
-      known_server &Known = Entries[Id];
+      server_record &Record = ServerRecords[Id];
       Listed.insert(Id);
-      Known.MissingSince.reset();
-      if (Known.Version != Row.Version)
-        readServer(Id, Row, Known);
+      Record.MissingSince.reset();
+      if (Record.Version != Row.Version)
+        readServer(Id, Row, Record);
     }
-    for (auto &[Id, Known] : Entries)
-      if (!Listed.contains(Id) && !Known.MissingSince)
-        Known.MissingSince = Now;
+    for (auto &[Id, Record] : ServerRecords)
+      if (!Listed.contains(Id) && !Record.MissingSince)
+        Record.MissingSince = Now;
     publishServers();
   }
 
-  struct known_server {
+  struct server_record {
     std::uint64_t Version = 0;
     std::optional<dispatch::server_entry> Entry;
     std::optional<runtime::time_point> MissingSince;
   };
 
-  // An entry that cannot be read names no server; the server of an earlier entry under the same key is gone.
-  void readServer(const std::string &Id, const platform::store_row &Row, known_server &Known) {
-    Known.Version = Row.Version;
+  // An unreadable entry removes the server that an earlier entry under the same key described.
+  void readServer(const std::string &Id, const platform::store_row &Row, server_record &Record) {
+    Record.Version = Row.Version;
     auto Decoded = platform::decodeServer(Id, Row.Value);
-    Known.Entry.reset();
+    Record.Entry.reset();
     if (Decoded) {
       if (Decoded.value().Draining)
         log(log_level::Info, "server_draining", {{"server", Id}});
-      Known.Entry = Decoded.value();
+      Record.Entry = Decoded.value();
     } else {
       log(log_level::Warning, "server_entry_unreadable",
           {{"server", Id}, {"reason", Decoded.error().message()}});
@@ -130,38 +133,38 @@
     if (!Servers)
       return;
     runtime::time_point Now = Executor.clock().now();
-    bool StoreWasAway =
-        Now - Servers->regainedAt() < Options.RegisterAgainTime && Servers->regainedAt() > StartedAt;
-    bool Kept = false;
+    bool RecentlyReconnected = Now - Servers->reconnectedAt() < Options.ReregistrationTimeout &&
+                               Servers->reconnectedAt() > StartedAt;
+    bool MissingKept = false;
     std::vector<dispatch::server_entry> List;
-    for (auto Iterator = Entries.begin(); Iterator != Entries.end();) {
-      const known_server &Known = Iterator->second;
-      bool Keep =
-          !Known.MissingSince || (StoreWasAway && Now - *Known.MissingSince < Options.RegisterAgainTime);
-      Kept |= Keep && Known.MissingSince.has_value();
-      if (Keep && Known.Entry)
-        List.push_back(*Known.Entry);
-      Iterator = Keep ? std::next(Iterator) : Entries.erase(Iterator);
+    for (auto Iterator = ServerRecords.begin(); Iterator != ServerRecords.end();) {
+      const server_record &Record = Iterator->second;
+      bool Keep = !Record.MissingSince ||
+                  (RecentlyReconnected && Now - *Record.MissingSince < Options.ReregistrationTimeout);
+      MissingKept |= Keep && Record.MissingSince.has_value();
+      if (Keep && Record.Entry)
+        List.push_back(*Record.Entry);
+      Iterator = Keep ? std::next(Iterator) : ServerRecords.erase(Iterator);
     }
     Vm.setServers(List);
-    if (Kept && !PublishTimer)
+    if (MissingKept && !PublishTimer)
       PublishTimer = Executor.after(Options.RetryDelay, Lifetime.guard([this] {
         PublishTimer = 0;
         publishServers();
       }));
   }
 
-  struct vm_row {
+  struct vm_entry {
     dispatch::registered_vm Vm;
     std::uint32_t Term = 0;
   };
 
-  struct known_vm_row {
+  struct vm_record {
     std::uint64_t Version = 0;
-    std::optional<vm_row> Row;
+    std::optional<vm_entry> Entry;
   };
 
-  static std::optional<vm_row> decodeVm(const std::string &Value) {
+  static std::optional<vm_entry> decodeVm(const std::string &Value) {
     auto Document = nlohmann::json::parse(Value, nullptr, false);
     auto Text = [&](const char *Key) {
       return Document.contains(Key) && Document[Key].is_string() ? Document[Key].get<std::string>()
@@ -173,45 +176,46 @@
     };
     if (!Document.is_object() || Text("address").empty())
       return std::nullopt;
-    return vm_row{{Text("address"), Text("domain"), Number("strength")}, Number("term")};
+    return vm_entry{{Text("address"), Text("domain"), Number("strength")}, Number("term")};
   }
 
-  // An entry that cannot be read names no VM.
+  // An unreadable entry removes the VM that an earlier entry of the same name described.
   void readVm(const std::string &Name, const platform::store_row &Row) {
-    known_vm_row &Known = VmRows[Name];
-    if (std::exchange(Known.Version, Row.Version) == Row.Version)
+    vm_record &Record = VmRecords[Name];
+    if (std::exchange(Record.Version, Row.Version) == Row.Version)
       return;
-    Known.Row = decodeVm(Row.Value);
-    if (!Known.Row) {
+    Record.Entry = decodeVm(Row.Value);
+    if (!Record.Entry) {
       log(log_level::Warning, "vm_entry_unreadable", {{"vm", Name}});
       return;
     }
-    Vm.observeTerm(Known.Row->Term);
-    Term = std::max(Term, Known.Row->Term);
+    Vm.observeTerm(Record.Entry->Term);
+    Term = std::max(Term, Record.Entry->Term);
   }
 
   void readVms() {
-    std::erase_if(VmRows, [this](const auto &Entry) { return !Vms->rows().contains(Entry.first); });
+    std::erase_if(VmRecords, [this](const auto &Entry) { return !Vms->rows().contains(Entry.first); });
     for (const auto &[Name, Row] : Vms->rows())
       readVm(Name, Row);
     dispatch::registered_vms Others;
-    for (const auto &[Name, Known] : VmRows)
-      if (Known.Row && Name != Options.Vm)
-        Others[Name] = Known.Row->Vm;
+    for (const auto &[Name, Record] : VmRecords)
+      if (Record.Entry && Name != Options.Vm)
+        Others[Name] = Record.Entry->Vm;
     Vm.setRegisteredVms(Others);
     bool Listed = Vms->rows().contains(Options.Vm);
-    // After the first read, so that the former entry's term is known before it is overwritten.
-    if (!std::exchange(Registering, true)) {
+    // The entry is written after the first read, so that the term in the former entry is known before it is
+    // overwritten.
+    if (!std::exchange(FirstReadDone, true)) {
       Returning = Listed;
       writeEntry();
-    } else if (Registered && !Listed && !Leaving && !Writing) {
-      // Another VM took this one as removed.
-      writeLater();
+    } else if (Registered && !Listed && !Unregistering && !WritePending) {
+      // Another VM assumed that this one was gone and removed its entry.
+      scheduleWrite();
     }
   }
 
   void writeEntry() {
-    Writing = true;
+    WritePending = true;
     nlohmann::json Row{{"address", Options.PeerAddress},
                        {"domain", Options.Domain},
                        {"strength", Options.Strength},
@@ -222,34 +226,34 @@
   }
 
   void onWritten(const runtime::result<std::uint64_t> &Version) {
-    Writing = false;
-    if (Leaving)
+    WritePending = false;
+    if (Unregistering)
       return;
     if (!Version) {
       log(log_level::Warning, "registration_failed", {{"reason", Version.error().message()}});
       WrittenTerm = 0;
-      writeLater();
+      scheduleWrite();
       return;
     }
     EntryVersion = Version.value();
-    noteRegistration(Version.value());
+    reportRegistration(Version.value());
     if (WrittenTerm != Term)
-      writeLater();
+      scheduleWrite();
   }
 
-  // The version of the first entry is unique and rises, which makes it the low part of this incarnation's
-  // fencing tokens.
-  void noteRegistration(std::uint64_t Version) {
+  // Only the version of the first write is reported: store versions are unique and increase, so it serves as
+  // the low part of this incarnation's fencing tokens.
+  void reportRegistration(std::uint64_t Version) {
     if (std::exchange(Registered, true))
       return;
     log(log_level::Info, "vm_registered", {{"registration", static_cast<std::int64_t>(Version)}});
     Vm.setRegistration(Version, Returning);
   }
 
-  void writeLater() {
-    Writing = true;
+  void scheduleWrite() {
+    WritePending = true;
     Executor.after(Options.RetryDelay, Lifetime.guard([this] {
-      if (!Leaving)
+      if (!Unregistering)
         writeEntry();
     }));
   }
@@ -262,22 +266,22 @@
   std::unique_ptr<table_watch> Configuration;
   std::unique_ptr<table_watch> Servers;
   std::unique_ptr<table_watch> Vms;
-  std::map<std::string, known_server> Entries;
-  std::map<std::string, known_vm_row> VmRows;
+  std::map<std::string, server_record> ServerRecords;
+  std::map<std::string, vm_record> VmRecords;
   runtime::timer_id PublishTimer = 0;
-  // Of the entry in the store; 0 before it is written.
+  // Version of this VM's entry in the store; 0 before the entry is written.
   std::uint64_t EntryVersion = 0;
   std::uint32_t Term = 0;
   std::uint32_t WrittenTerm = 0;
-  bool Registering = false;
-  // This VM's entry was there before this process wrote one.
+  bool FirstReadDone = false;
+  // The store held an entry of this VM before this process wrote one.
   bool Returning = false;
-  // Stale entries whose removal is under way.
-  std::set<std::string> Removing;
+  // Names of VMs whose stale entries are being removed.
+  std::set<std::string> PendingRemovals;
   bool Registered = false;
-  // A write is under way or about to be made.
-  bool Writing = false;
-  bool Leaving = false;
+  // A write is in flight or scheduled.
+  bool WritePending = false;
+  bool Unregistering = false;
   runtime::lifetime Lifetime;
 };
 
--- a/src/yuccaplank/entry/directory_test.cpp
+++ b/src/yuccaplank/entry/directory_test.cpp
@@ -20,7 +20,7 @@
 
 constexpr const char *VmTable = "yuccaplank_vms";
 
-// A store that keeps the calls until the test answers them.
+// A store that holds calls until the test answers them.
 struct store final : platform::store_client {
   using page_handler = std::function<void(result<store_page>)>;
   using write_handler = std::function<void(result<std::uint64_t>)>;
@@ -86,8 +86,8 @@
   dispatch::server_orders &orders() override { return Orders; }
   void answer(std::uint64_t, const dispatch::job_answer &) override {}
   void onTermRaised(std::uint32_t) override {}
-  void onServersNeeded(bool Needed) override { Directory->followServers(Needed); }
-  void onStaleRegistration(const std::string &Name) override { Directory->removeStale(Name); }
+  void onServersNeeded(bool Needed) override { Directory->setServerWatch(Needed); }
+  void onStaleRegistration(const std::string &Name) override { Directory->removeStaleEntry(Name); }
   void onConfigurationOffered(const schema::configuration_copy &) override {}
 
   [[nodiscard]] bool contacted(const std::string &Address) const {
@@ -95,19 +95,20 @@
   }
 };
 
-constexpr const char *Other = R"({"address":"vm2:1","domain":"d1","strength":500,"term":3})";
+constexpr const char *OtherEntry = R"({"address":"vm2:1","domain":"d1","strength":500,"term":3})";
 
-// Guards against a VM that stays unknown to the others, and against entries of VMs that are gone.
-const test_case Entries("directory: entries of VMs", [] {
+// Guards against a VM that the others cannot discover because its entry is missing, and against entries that
+// remain in the store after their VMs are gone.
+const test_case Entries("directory: the entries of VMs are read, written and removed", [] {
   vm Vm;
-  Vm.Store.answer(Vm.Store.Reads, {row("vm2", 4, Other), row("vm3", 5, "not readable")}, 5);
+  Vm.Store.answer(Vm.Store.Reads, {row("vm2", 4, OtherEntry), row("vm3", 5, "not readable")}, 5);
   CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Vm.Store.Puts.size());
   Vm.Store.Puts.front().OnDone(std::uint64_t{6});
-  if (auto Then = section("VMs with an entry that can be read are contacted, others are not known")) {
+  if (auto Then = section("VMs with a readable entry are contacted, others are ignored")) {
     CPPUNIT_ASSERT(Vm.contacted("vm2:1"));
     CPPUNIT_ASSERT_EQUAL(std::string::npos, Vm.Entry->report().DebugString().find("vm3"));
   }
-  if (auto When = section("when the own entry is removed by another VM, it is written again")) {
+  if (auto When = section("when another VM removes this VM's entry, it is written again")) {
     Vm.Store.answer(Vm.Store.Feeds, {row("vm1", 6, "{}")}, 6);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Vm.Store.Puts.size());
     Vm.Executor->advance(milliseconds(300));
@@ -117,25 +118,28 @@
     Vm.Executor->advance(milliseconds(300));
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, Vm.Store.Puts.size());
   }
-  if (auto When = section("when a VM is gone for long, its entry is removed once, unless it has changed")) {
-    Vm.Directory->removeStale("vm2");
-    Vm.Directory->removeStale("vm2");
-    Vm.Directory->removeStale("unknown");
+  if (auto When = section(
+          "when a VM is reported as gone, its entry is removed once and only at the version that was read")) {
+    Vm.Directory->removeStaleEntry("vm2");
+    Vm.Directory->removeStaleEntry("vm2");
+    Vm.Directory->removeStaleEntry("unknown");
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Vm.Store.Removals.size());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, Vm.Store.Removals.front().Version);
   }
 });
 
-// Guards against reads of the servers by VMs that do not need them, whose cost grows with both.
-const test_case Servers("directory: who reads the servers", [] {
+// Guards against VMs that read the server table without dispatching: the cost of these reads grows with the
+// number of VMs times the number of servers.
+const test_case Servers("directory: only VMs that dispatch read the servers", [] {
   vm Vm;
   CPPUNIT_ASSERT(!Vm.Store.Reads.contains("servers"));
-  Vm.Store.answer(Vm.Store.Reads, {row("vm2", 4, Other)}, 5);
+  Vm.Store.answer(Vm.Store.Reads, {row("vm2", 4, OtherEntry)}, 5);
   CPPUNIT_ASSERT(!Vm.Store.Reads.contains("servers"));
   Vm.Store.Puts.front().OnDone(std::uint64_t{6});
-  if (auto When = section("a VM that is registered for the first time waits for the others' entries"))
+  if (auto When = section(
+          "a VM that registers for the first time waits for the other VMs' entries before it reads them"))
     CPPUNIT_ASSERT(!Vm.Store.Reads.contains("servers"));
-  if (auto When = section("a VM that dispatches reads them")) {
+  if (auto When = section("a VM that has become a dispatcher reads them")) {
     Vm.Executor->advance(milliseconds(800));
     CPPUNIT_ASSERT(Vm.Store.Reads.contains("servers"));
   }
--- a/src/yuccaplank/entry/fleet_test.cpp
+++ b/src/yuccaplank/entry/fleet_test.cpp
@@ -24,8 +24,8 @@
 
 namespace {
 
-// Ports of one process that are free now and not given to outgoing connections, which would take them before
-// they are listened on.
+// Returns a free port from a range of this process that lies below the ephemeral ports: an outgoing
+// connection could otherwise take the port before a listener does.
 std::uint16_t freePort() {
   static auto Next = static_cast<std::uint16_t>(20'000 + getpid() % 10 * 1000);
   for (;;) {
@@ -45,7 +45,7 @@
 
 std::string localAddress() { return fmt::format("127.0.0.1:{}", freePort()); }
 
-// Entry VMs with their sockets, on one loop with the stand-in of the platform.
+// Entry VMs with real sockets, on the same event loop as the stand-in platform.
 struct fleet {
   std::unique_ptr<runtime::loop> Loop = runtime::makeLoop();
   std::unique_ptr<wire::http_client> Client = wire::makeHttpClient(*Loop);
@@ -58,26 +58,27 @@
     runtime::setLogLevel(runtime::log_level::Error);
     standin::site_options Options;
     Options.Workers = 4;
-    // The range of ports belongs to this process, so that the following ones are free too.
+    // The workers take consecutive ports; those that follow are free too, since the range belongs to this
+    // process.
     Options.FirstWorkerPort = freePort();
     for (std::uint32_t Index = 1; Index < Options.Workers; ++Index)
       freePort();
     Options.Heartbeat = milliseconds(100);
-    auto Made = standin::makeSite(*Loop, Options);
-    CPPUNIT_ASSERT(Made);
-    Site = std::move(Made.value());
+    auto Created = standin::makeSite(*Loop, Options);
+    CPPUNIT_ASSERT(Created);
+    Site = std::move(Created.value());
     for (std::uint32_t Index = 0; Index < Count; ++Index)
-      Settings.push_back(settingsOf(Index));
-    for (platform::settings &Each : Settings) {
-      Each.Seeds = {Settings.front().PeerAddress};
-      startVm(Each);
+      Settings.push_back(makeSettings(Index));
+    for (platform::settings &VmSettings : Settings) {
+      VmSettings.Seeds = {Settings.front().PeerAddress};
+      startVm(VmSettings);
     }
   }
   fleet(const fleet &) = delete;
   fleet &operator=(const fleet &) = delete;
   ~fleet() { runtime::setLogLevel(runtime::log_level::Info); }
 
-  platform::settings settingsOf(std::uint32_t Index) const {
+  platform::settings makeSettings(std::uint32_t Index) const {
     platform::settings Result;
     Result.Vm = fmt::format("vm{}", Index);
     Result.Domain = "d1";
@@ -89,12 +90,12 @@
     return Result;
   }
 
-  void startVm(const platform::settings &Of) {
+  void startVm(const platform::settings &VmSettings) {
     entry::vm_process_options Options;
-    Options.Settings = Of;
-    auto Made = entry::makeVmProcess(*Loop, Options);
-    CPPUNIT_ASSERT(Made);
-    Vms.push_back(std::move(Made.value()));
+    Options.Settings = VmSettings;
+    auto Created = entry::makeVmProcess(*Loop, Options);
+    CPPUNIT_ASSERT(Created);
+    Vms.push_back(std::move(Created.value()));
   }
 
   wire::http_call_result exchange(wire::http_call Call) const {
@@ -118,7 +119,7 @@
         CPPUNIT_ASSERT(Try < 100);
         runFor(*Loop, milliseconds(50));
       }
-    // Until the servers are claimed.
+    // Gives the VMs time to claim the servers.
     runFor(*Loop, milliseconds(500));
   }
 
@@ -141,32 +142,33 @@
         .Outcome;
   }
   void assertServes(std::size_t Vm) { CPPUNIT_ASSERT(submit(Vm, makeJob(30)) == caller_outcome::Completed); }
-  void assertKept() const {
+  void assertNoViolation() const {
     CPPUNIT_ASSERT_EQUAL(std::string(), Site->violations().empty() ? "" : Site->violations().front());
   }
 };
 
-// Guards against parts that fit together in tests of their own only: settings, store, peers, servers,
+// Guards against components that pass their own tests but fail together: settings, store, peers, servers and
 // callers.
-const test_case Calm("fleet on sockets: a calm day", [] {
+const test_case FaultFree("fleet on sockets: fault-free operation", [] {
   fleet Fleet(3);
   Fleet.waitUntilReady();
-  if (auto When = section("when jobs are submitted to each VM")) {
+  if (auto When = section("when a job is submitted to each VM, all complete and each task starts once")) {
     for (std::size_t Vm = 0; Vm < 3; ++Vm)
       Fleet.assertServes(Vm);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, Fleet.Site->starts());
   }
-  if (auto When = section("when a queue is asked for that does not exist")) {
+  if (auto When = section("when a job is submitted to a queue that does not exist, the reply is 404")) {
     auto Answer = Fleet.exchange(platform::makeSubmitCall(Fleet.Settings[0].CallerAddress,
                                                           {"other.example", "/jobs/"}, Fleet.makeJob(30)));
     CPPUNIT_ASSERT_EQUAL(404, Answer.Status);
   }
-  if (auto When = section("when a queue's length is asked for")) {
+  if (auto When = section("when the length of an empty queue is requested, it is 0")) {
     auto Waiting = platform::decodeWaitingCount(
         Fleet.exchange(platform::makeWaitingCountCall(Fleet.Settings[1].CallerAddress, Fleet.queue())));
     CPPUNIT_ASSERT(Waiting == std::uint32_t{0});
   }
-  if (auto When = section("when a job is cancelled through another VM")) {
+  if (auto When =
+          section("when a job is cancelled through another VM, its caller receives the cancellation")) {
     auto Job = Fleet.makeJob(3000);
     std::optional<caller_outcome> Outcome;
     Fleet.Client->call(
@@ -179,33 +181,35 @@
     runUntil(*Fleet.Loop, [&] { return Outcome.has_value(); });
     CPPUNIT_ASSERT(*Outcome == caller_outcome::Cancelled);
   }
-  Fleet.assertKept();
+  Fleet.assertNoViolation();
 });
 
-// Guards against a VM that serves under bounds with which a resent job could run twice.
-const test_case ShortBounds("fleet on sockets: bounds that cannot be kept", [] {
+// Guards against a VM that serves although its settings allow a resent job to run twice: with a resend delay
+// shorter than the leases, the first submission may still run when the second one starts.
+const test_case ShortBounds("fleet on sockets: a VM with a too short resend delay does not start", [] {
   fleet Fleet(0);
   auto Loop = runtime::makeLoop();
   entry::vm_process_options Options;
-  Options.Settings = Fleet.settingsOf(0);
-  Options.Settings.ResendMs = 400;
-  auto Made = entry::makeVmProcess(*Loop, Options);
-  CPPUNIT_ASSERT(!Made);
-  CPPUNIT_ASSERT(Made.error() == runtime::errc::OutOfRange);
+  Options.Settings = Fleet.makeSettings(0);
+  Options.Settings.ResendDelayMs = 400;
+  auto Created = entry::makeVmProcess(*Loop, Options);
+  CPPUNIT_ASSERT(!Created);
+  CPPUNIT_ASSERT(Created.error() == runtime::errc::OutOfRange);
 });
 
-// Guards against VMs that stop serving, or go back to older knowledge, when the store is away or forgets.
-const test_case Store("fleet on sockets: trouble with the store", [] {
+// Guards against VMs that stop serving, or that return to an older configuration or server list, when the
+// store is unreachable or has lost its history.
+const test_case Store("fleet on sockets: VMs serve through faults of the store", [] {
   fleet Fleet(2);
   Fleet.waitUntilReady();
   standin::store_service &Store = Fleet.Site->store();
-  if (auto Given = section("given a store that does not answer")) {
+  if (auto Given = section("given a store that does not answer, jobs complete")) {
     Store.setFaults({standin::store_mode::Silent, {}, 0, 0});
     runFor(*Fleet.Loop, milliseconds(1500));
     Fleet.assertServes(0);
     Fleet.assertServes(1);
   }
-  if (auto Given = section("given a store that resets connections, and is back later")) {
+  if (auto Given = section("given a store that resets connections and then recovers, jobs complete")) {
     Store.setFaults({standin::store_mode::Reset, {}, 0, 0});
     runFor(*Fleet.Loop, milliseconds(800));
     Fleet.assertServes(0);
@@ -214,56 +218,58 @@
     runFor(*Fleet.Loop, milliseconds(1200));
     Fleet.assertServes(1);
   }
-  if (auto Given = section("given a history that is dropped")) {
+  if (auto Given = section("given a store that has dropped its history, jobs complete")) {
     Fleet.Site->configure(5);
     Store.forgetHistory();
     runFor(*Fleet.Loop, milliseconds(800));
     Fleet.assertServes(0);
   }
-  if (auto Given = section("given writes without an answer while a VM starts")) {
+  if (auto Given = section("given lost answers to writes while a VM starts, the VM becomes ready")) {
     Store.setFaults({standin::store_mode::Normal, {}, 0.7, 0.2});
-    Fleet.Settings.push_back(Fleet.settingsOf(2));
+    Fleet.Settings.push_back(Fleet.makeSettings(2));
     Fleet.Settings.back().Seeds = {Fleet.Settings.front().PeerAddress};
     Fleet.startVm(Fleet.Settings.back());
     Fleet.waitUntilReady();
     Fleet.assertServes(2);
   }
-  if (auto Given = section("given entries of servers that cannot be read")) {
+  if (auto Given = section("given unreadable entries of servers, jobs complete on the other servers")) {
     Store.put("servers", "w1", "{\"service\":7}");
     Store.put("servers", "stranger", "\xff");
     runFor(*Fleet.Loop, milliseconds(700));
     Fleet.assertServes(0);
   }
-  Fleet.assertKept();
+  Fleet.assertNoViolation();
 });
 
-// Guards against two runs of a task, and against lost jobs, when orders to servers go wrong on the wire.
-const test_case Servers("fleet on sockets: trouble with the servers", [] {
+// Guards against two concurrent runs of a task and against lost jobs, when orders to servers are lost,
+// delayed or left unanswered.
+const test_case Servers("fleet on sockets: VMs serve through faults of the servers", [] {
   fleet Fleet(2);
   Fleet.waitUntilReady();
-  if (auto Given = section("given orders without an answer, some of them carried out late")) {
+  if (auto Given = section("given lost answers to orders, some of which are carried out late")) {
     for (std::size_t Index = 0; Index < 4; ++Index)
       Fleet.Site->workerAt(Index).setFaults({standin::worker_mode::Normal, 0.2, 0.1, 1});
     for (int Job = 0; Job < 6; ++Job)
       Fleet.submit(Job % 2, Fleet.makeJob(30, 3));
   }
-  if (auto Given = section("given a server that goes silent")) {
+  if (auto Given =
+          section("given a server that becomes unresponsive, later jobs complete on the other servers")) {
     Fleet.Site->workerAt(0).setFaults({standin::worker_mode::Silent, 0, 0, 1});
-    // A start without an answer may be carried out later, so that this job cannot go on elsewhere.
+    // The server may still carry out an unanswered start order, so its task must not start elsewhere.
     auto First = Fleet.makeJob(30, 4);
     First.DeadlineMs = 1000;
     CPPUNIT_ASSERT(Fleet.submit(0, First) == caller_outcome::Unanswered);
     for (int Job = 0; Job < 3; ++Job)
       CPPUNIT_ASSERT(Fleet.submit(Job % 2, Fleet.makeJob(30, 4)) == caller_outcome::Completed);
   }
-  if (auto Given = section("given a server that crashes and is born again")) {
+  if (auto Given = section("given a server that crashes and restarts, jobs complete")) {
     Fleet.Site->workerAt(1).crash();
     runFor(*Fleet.Loop, milliseconds(100));
     CPPUNIT_ASSERT(Fleet.Site->workerAt(1).start());
     for (int Job = 0; Job < 4; ++Job)
       CPPUNIT_ASSERT(Fleet.submit(Job % 2, Fleet.makeJob(30, 4)) == caller_outcome::Completed);
   }
-  Fleet.assertKept();
+  Fleet.assertNoViolation();
 });
 
 } // namespace
--- a/src/yuccaplank/entry/frontend.cpp
+++ b/src/yuccaplank/entry/frontend.cpp
@@ -13,7 +13,7 @@
 using dispatch::job_answer;
 using dispatch::job_outcome;
 using dispatch::queue_settings;
-using platform::shown_state;
+using platform::caller_job_state;
 using runtime::log;
 using runtime::log_level;
 using wire::http_reply;
@@ -21,21 +21,22 @@
 using wire::request_token;
 
 constexpr std::uint32_t MaxTasks = 10'000;
-// For callers of what this VM cannot serve now, for example before it has a configuration.
-constexpr std::uint32_t ComeBackMs = 1000;
+// Retry delay sent with a refusal that has no delay of its own, for example before there is a configuration.
+constexpr std::uint32_t DefaultRetryAfterMs = 1000;
 
 struct submitted_job {
-  // When the request of each arrived.
+  // Arrival times of the callers' requests.
   std::map<request_token, runtime::time_point> Callers;
 };
 
-struct remembered_answer {
+struct answer_expiry {
   std::uint64_t Job = 0;
-  runtime::time_point Until;
+  runtime::time_point ExpiresAt;
 };
 
-// Why a job is refused although it is well-formed; null when it is served.
-const char *unservedKind(const platform::job_document &Job, const queue_settings &Queue) {
+// Returns the name of the first feature that a well-formed job needs and that is not supported; null if there
+// is none.
+const char *findUnsupportedFeature(const platform::job_document &Job, const queue_settings &Queue) {
   if (!Job.BestEffort)
     return "job_to_be_kept";
   if (Job.Repetitions > 0)
@@ -56,7 +57,8 @@
   return Step.MaxPerServer > 0 ? "max_per_server" : nullptr;
 }
 
-const char *malformation(const platform::job_document &Job) {
+// Returns the reason why a decoded job is malformed; null if it is well-formed.
+const char *findMalformation(const platform::job_document &Job) {
   if (Job.Steps.empty())
     return "no_steps";
   for (const platform::step_document &Step : Job.Steps)
@@ -72,28 +74,28 @@
   return Reply;
 }
 
-http_reply refusal(int Status, std::uint32_t RetryAfterMs) {
+http_reply makeRefusal(int Status, std::uint32_t RetryAfterMs) {
   http_reply Reply = makeReply(Status, "{}");
   std::uint32_t Seconds = std::max<std::uint32_t>(1, (RetryAfterMs + 999) / 1000);
   Reply.Headers.push_back({"retry-after", std::to_string(Seconds)});
   return Reply;
 }
 
-// 502 and 504 make the caller send the job again; by then nothing of it runs any more.
-http_reply replyTo(const job_answer &Answer) {
+// A caller that receives 502 or 504 sends the job again; by then none of its runs is left.
+http_reply makeAnswerReply(const job_answer &Answer) {
   switch (Answer.Outcome) {
   case job_outcome::Completed:
-    return makeReply(200, platform::encodeState(shown_state::Completed));
+    return makeReply(200, platform::encodeState(caller_job_state::Completed));
   case job_outcome::Failed:
-    return makeReply(200, platform::encodeState(shown_state::Failed));
+    return makeReply(200, platform::encodeState(caller_job_state::Failed));
   case job_outcome::Cancelled:
-    return makeReply(200, platform::encodeState(shown_state::Cancelled));
+    return makeReply(200, platform::encodeState(caller_job_state::Cancelled));
   case job_outcome::TimedOut:
     return makeReply(504, "{}");
   case job_outcome::Refused:
     break;
   }
-  return refusal(503, Answer.RetryAfterMs);
+  return makeRefusal(503, Answer.RetryAfterMs);
 }
 
 class frontend_impl final : public frontend {
@@ -125,15 +127,15 @@
       refuse(Request, 404, "malformed_id");
       return;
     }
-    dispatchMethod(Request, *Queue, *Job);
+    handleJobRequest(Request, *Queue, *Job);
   }
 
   void onClosed(request_token Token) override {
-    auto Found = JobsOfCallers.find(Token);
-    if (Found == JobsOfCallers.end())
+    auto Found = JobsByCaller.find(Token);
+    if (Found == JobsByCaller.end())
       return;
     std::uint64_t Job = Found->second;
-    JobsOfCallers.erase(Found);
+    JobsByCaller.erase(Found);
     submitted_job &Submitted = Jobs.at(Job);
     Submitted.Callers.erase(Token);
     if (Submitted.Callers.empty())
@@ -147,22 +149,22 @@
     submitted_job Submitted = std::move(Found->second);
     Jobs.erase(Found);
     for (const auto &[Token, Arrived] : Submitted.Callers) {
-      JobsOfCallers.erase(Token);
+      JobsByCaller.erase(Token);
       if (Handlers.OnAnswered)
         Handlers.OnAnswered(Answer, Executor.clock().now() - Arrived);
-      Handlers.Reply(Token, replyTo(Answer));
+      Handlers.Reply(Token, makeAnswerReply(Answer));
     }
-    remember(Job, Answer);
+    retainAnswer(Job, Answer);
   }
 
-  [[nodiscard]] std::size_t pending() const override { return JobsOfCallers.size(); }
+  [[nodiscard]] std::size_t pendingCallers() const override { return JobsByCaller.size(); }
 
 private:
-  void dispatchMethod(const http_request &Request, const queue_settings &Queue, std::uint64_t Job) {
+  void handleJobRequest(const http_request &Request, const queue_settings &Queue, std::uint64_t Job) {
     if (Request.Method == "POST")
       submit(Request, Queue, Job);
     else if (Request.Method == "GET")
-      tellState(Request, Job);
+      replyWithState(Request, Job);
     else if (Request.Method == "DELETE")
       cancel(Request, Job);
     else
@@ -175,26 +177,26 @@
       return;
     }
     auto Decoded = platform::decodeJob(Request.Body);
-    const char *Malformed = Decoded ? malformation(Decoded.value()) : "not_a_job";
+    const char *Malformed = Decoded ? findMalformation(Decoded.value()) : "not_a_job";
     if (Malformed) {
       refuse(Request, 400, Malformed);
       return;
     }
-    if (const char *Unserved = unservedKind(Decoded.value(), Queue)) {
-      refuse(Request, 503, Unserved);
+    if (const char *Unsupported = findUnsupportedFeature(Decoded.value(), Queue)) {
+      refuse(Request, 503, Unsupported);
       return;
     }
-    if (auto Found = Answers.find(Id); Found != Answers.end()) {
-      Handlers.Reply(Request.Token, replyTo(Found->second));
+    if (auto Found = RetainedAnswers.find(Id); Found != RetainedAnswers.end()) {
+      Handlers.Reply(Request.Token, makeAnswerReply(Found->second));
       return;
     }
     Jobs[Id].Callers.emplace(Request.Token, Executor.clock().now());
-    JobsOfCallers[Request.Token] = Id;
-    Vm.jobs().submit(Queue, toRequest(Decoded.value(), Id, deadlineOf(Request)));
+    JobsByCaller[Request.Token] = Id;
+    Vm.jobs().submit(Queue, toJobRequest(Decoded.value(), Id, parseDeadline(Request)));
   }
 
-  static dispatch::job_request toRequest(platform::job_document &Document, std::uint64_t Id,
-                                         runtime::duration Deadline) {
+  static dispatch::job_request toJobRequest(platform::job_document &Document, std::uint64_t Id,
+                                            runtime::duration Deadline) {
     dispatch::job_request Job;
     const platform::step_document &Step = Document.Steps.front();
     Job.Job = Id;
@@ -206,7 +208,7 @@
     return Job;
   }
 
-  [[nodiscard]] runtime::duration deadlineOf(const http_request &Request) const {
+  [[nodiscard]] runtime::duration parseDeadline(const http_request &Request) const {
     std::string_view Text = Request.header(platform::DeadlineHeader);
     std::uint32_t Milliseconds = 0;
     auto [Stop, Error] = std::from_chars(Text.data(), Text.data() + Text.size(), Milliseconds);
@@ -215,25 +217,26 @@
     return std::chrono::milliseconds(Milliseconds);
   }
 
-  void tellState(const http_request &Request, std::uint64_t Job) {
+  void replyWithState(const http_request &Request, std::uint64_t Job) {
     if (Vm.jobs().contains(Job)) {
       bool Queued = Vm.jobs().state(Job) == dispatch::job_state::Queued;
-      Handlers.Reply(Request.Token, makeReply(200, platform::encodeState(Queued ? shown_state::Queued
-                                                                                : shown_state::Running)));
+      Handlers.Reply(Request.Token,
+                     makeReply(200, platform::encodeState(Queued ? caller_job_state::Queued
+                                                                 : caller_job_state::Running)));
       return;
     }
-    auto Found = Answers.find(Job);
-    if (Found == Answers.end())
+    auto Found = RetainedAnswers.find(Job);
+    if (Found == RetainedAnswers.end())
       Handlers.Reply(Request.Token, makeReply(410, "{}"));
     else
-      Handlers.Reply(Request.Token, replyTo(Found->second));
+      Handlers.Reply(Request.Token, makeAnswerReply(Found->second));
   }
 
   void cancel(const http_request &Request, std::uint64_t Job) {
     Vm.cancel(Job, [this, Token = Request.Token, Job](bool Found) {
       log(log_level::Info, "cancel_answered", {{"job", dispatch::formatJob(Job)}, {"found", Found}});
-      Handlers.Reply(
-          Token, makeReply(Found ? 200 : 410, Found ? platform::encodeState(shown_state::Cancelled) : "{}"));
+      Handlers.Reply(Token, makeReply(Found ? 200 : 410,
+                                      Found ? platform::encodeState(caller_job_state::Cancelled) : "{}"));
     });
   }
 
@@ -244,20 +247,21 @@
          {"status", std::int64_t{Status}},
          {"reason", std::string(Reason)},
          {"configuration", static_cast<std::int64_t>(Vm.current() ? Vm.current()->Version : 0)}});
-    Handlers.Reply(Request.Token, Status == 503 ? refusal(Status, ComeBackMs) : makeReply(Status, "{}"));
+    Handlers.Reply(Request.Token,
+                   Status == 503 ? makeRefusal(Status, DefaultRetryAfterMs) : makeReply(Status, "{}"));
   }
 
-  // Only answers after which the job must not run again.
-  void remember(std::uint64_t Job, const job_answer &Answer) {
+  // Keeps answers after which the job must not run again: a caller that resends the job receives them.
+  void retainAnswer(std::uint64_t Job, const job_answer &Answer) {
     runtime::time_point Now = Executor.clock().now();
-    while (!AnswerOrder.empty() && AnswerOrder.front().Until <= Now) {
-      Answers.erase(AnswerOrder.front().Job);
-      AnswerOrder.pop_front();
+    while (!AnswerExpiries.empty() && AnswerExpiries.front().ExpiresAt <= Now) {
+      RetainedAnswers.erase(AnswerExpiries.front().Job);
+      AnswerExpiries.pop_front();
     }
     if (Answer.Outcome != job_outcome::Completed && Answer.Outcome != job_outcome::Failed)
       return;
-    Answers[Job] = Answer;
-    AnswerOrder.push_back({Job, Now + Options.AnswerRetention});
+    RetainedAnswers[Job] = Answer;
+    AnswerExpiries.push_back({Job, Now + Options.AnswerRetention});
   }
 
   runtime::executor &Executor;
@@ -265,9 +269,9 @@
   frontend_handlers Handlers;
   frontend_options Options;
   std::map<std::uint64_t, submitted_job> Jobs;
-  std::map<request_token, std::uint64_t> JobsOfCallers;
-  std::map<std::uint64_t, job_answer> Answers;
-  std::deque<remembered_answer> AnswerOrder;
+  std::map<request_token, std::uint64_t> JobsByCaller;
+  std::map<std::uint64_t, job_answer> RetainedAnswers;
+  std::deque<answer_expiry> AnswerExpiries;
 };
 
 } // namespace
--- a/src/yuccaplank/entry/frontend.hpp
+++ b/src/yuccaplank/entry/frontend.hpp
@@ -1,4 +1,4 @@
-// Callers' requests: jobs, their state, cancels and queue lengths.
+// Serves callers' HTTP requests: submitting a job, its state, cancelling it, and the length of a queue.
 #pragma once
 
 #include "yuccaplank/dispatch/entry_vm.hpp"
@@ -10,9 +10,9 @@
 namespace yuccaplank::entry {
 
 struct frontend_options {
-  /// Answers are remembered for this time for callers that send a finished job again.
+  /// Answers are kept for this time for callers that resend a finished job.
   runtime::duration AnswerRetention = std::chrono::seconds(10);
-  /// Wait for an answer when the caller names none.
+  /// Deadline of a job whose caller sends none.
   runtime::duration DefaultDeadline = std::chrono::seconds(5);
 };
 
@@ -20,17 +20,18 @@
 public:
   virtual ~frontend() = default;
   virtual void onRequest(wire::http_request Request) = 0;
+  /// The connection of an unanswered request has closed.
   virtual void onClosed(wire::request_token Token) = 0;
-  /// The job's answer, for all callers that wait for it.
+  /// Sends a job's answer to all callers that wait for it.
   virtual void answer(std::uint64_t Job, const dispatch::job_answer &Answer) = 0;
-  /// Callers that wait for an answer.
-  [[nodiscard]] virtual std::size_t pending() const = 0;
+  /// Number of callers that wait for an answer.
+  [[nodiscard]] virtual std::size_t pendingCallers() const = 0;
 };
 
 struct frontend_handlers {
   std::function<void(wire::request_token, wire::http_reply)> Reply;
-  /// For each caller whose job has its answer; optional.
-  std::function<void(const dispatch::job_answer &, runtime::duration Took)> OnAnswered;
+  /// Called for each caller that receives its job's answer; Latency is the time since its request. Optional.
+  std::function<void(const dispatch::job_answer &, runtime::duration Latency)> OnAnswered;
 };
 
 std::unique_ptr<frontend> makeFrontend(runtime::executor &Executor, dispatch::entry_vm &Vm,
--- a/src/yuccaplank/entry/frontend_test.cpp
+++ b/src/yuccaplank/entry/frontend_test.cpp
@@ -17,7 +17,7 @@
 constexpr const char *Body =
     R"({"specification":"x","best_effort":true,"steps":[{"count":1,"cpu":1000,"estimated_ms":100}]})";
 
-// An entry VM without others and without servers.
+// An entry VM without other VMs and without servers.
 struct vm final : dispatch::entry_vm_ports {
   std::unique_ptr<runtime::manual_executor> Executor = runtime::makeManualExecutor();
   testing::no_orders Orders;
@@ -86,15 +86,16 @@
 
 const std::string JobPath = "/p/5c0e7a21d94b36f8";
 
-// Guards against requests that are run, lost or answered wrongly although they cannot be served.
-const test_case Refusals("frontend: refusals", [] {
+// Guards against jobs that start, or requests that get no answer or a wrong status, although the request is
+// malformed or cannot be served.
+const test_case Refusals("frontend: requests that cannot be served are refused", [] {
   vm Vm;
-  if (auto When = section("before there is a configuration, 503 with a time to come back")) {
+  if (auto When = section("without a configuration, the reply is 503 with a retry delay")) {
     auto Token = Vm.request("POST", JobPath, Body);
     CPPUNIT_ASSERT_EQUAL(503, Vm.statusOf(Token));
     CPPUNIT_ASSERT_EQUAL(std::string("retry-after"), Vm.Replies.at(Token).Headers.at(0).Name);
   }
-  if (auto When = section("given a configuration")) {
+  if (auto When = section("given a configuration, the status shows the reason and no job is created")) {
     Vm.configure();
     CPPUNIT_ASSERT_EQUAL(404, Vm.statusOf(Vm.request("POST", "/other/5c0e7a21d94b36f8", Body)));
     CPPUNIT_ASSERT_EQUAL(404, Vm.statusOf(Vm.request("POST", "/p/xyz", Body)));
@@ -103,17 +104,18 @@
     for (const char *Malformed :
          {"", "{}", "[]", R"({"steps":[]})", R"({"best_effort":true,"steps":[{"count":0}]})"})
       CPPUNIT_ASSERT_EQUAL(400, Vm.statusOf(Vm.request("POST", JobPath, Malformed)));
-    for (const char *Unserved :
+    for (const char *Unsupported :
          {R"({"steps":[{"count":1}]})", R"({"best_effort":true,"steps":[{"count":1},{"count":1}]})",
           R"({"best_effort":true,"steps":[{"count":1,"gang":true}]})",
           R"({"best_effort":true,"repetitions":2,"steps":[{"count":1}]})"})
-      CPPUNIT_ASSERT_EQUAL(503, Vm.statusOf(Vm.request("POST", JobPath, Unserved)));
+      CPPUNIT_ASSERT_EQUAL(503, Vm.statusOf(Vm.request("POST", JobPath, Unsupported)));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Vm.Entry->jobs().size());
   }
 });
 
-// Guards against a second job from one that was sent twice, and against jobs that go on without a caller.
-const test_case Callers("frontend: callers of one job", [] {
+// Guards against a job that runs twice because it was submitted twice, and against jobs that continue after
+// all their callers have left.
+const test_case Callers("frontend: several callers share one job", [] {
   vm Vm;
   Vm.configure();
   auto First = Vm.request("POST", JobPath, Body);
@@ -121,15 +123,15 @@
   CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Vm.Entry->jobs().size());
   CPPUNIT_ASSERT_EQUAL(std::string(R"({"waiting_count":1})"), Vm.Replies.at(Vm.request("GET", "/p/")).Body);
   CPPUNIT_ASSERT_EQUAL(std::string(R"({"state":"queued"})"), Vm.Replies.at(Vm.request("GET", JobPath)).Body);
-  if (auto When = section("when one leaves, the job goes on for the other")) {
+  if (auto When = section("when one caller leaves, the job continues for the other")) {
     Vm.Frontend->onClosed(First);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Vm.Entry->jobs().size());
-    if (auto Then = section("until that one leaves too")) {
+    if (auto Then = section("when the other leaves too, the job ends")) {
       Vm.Frontend->onClosed(Second);
       CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Vm.Entry->jobs().size());
     }
   }
-  if (auto When = section("when it is cancelled, all get an answer")) {
+  if (auto When = section("when the job is cancelled, all callers receive an answer")) {
     CPPUNIT_ASSERT_EQUAL(200, Vm.statusOf(Vm.request("DELETE", JobPath)));
     CPPUNIT_ASSERT_EQUAL(200, Vm.statusOf(First));
     CPPUNIT_ASSERT_EQUAL(200, Vm.statusOf(Second));
@@ -137,16 +139,16 @@
     CPPUNIT_ASSERT_EQUAL(410, Vm.statusOf(Vm.request("GET", JobPath)));
     CPPUNIT_ASSERT_EQUAL(410, Vm.statusOf(Vm.request("DELETE", JobPath)));
   }
-  if (auto When = section("when it has completed, a caller that sends it again gets the same answer")) {
+  if (auto When = section("when the job has completed, a caller that resends it receives the same answer")) {
     Vm.Frontend->answer(0x5c0e7a21d94b36f8, {});
     CPPUNIT_ASSERT_EQUAL(std::string(R"({"state":"completed"})"), Vm.Replies.at(First).Body);
-    auto Again = Vm.request("POST", JobPath, Body);
-    CPPUNIT_ASSERT_EQUAL(200, Vm.statusOf(Again));
+    auto Resent = Vm.request("POST", JobPath, Body);
+    CPPUNIT_ASSERT_EQUAL(200, Vm.statusOf(Resent));
   }
 });
 
-// Guards against an older configuration that replaces a newer one.
-const test_case Versions("frontend: configurations", [] {
+// Guards against an older configuration that replaces a newer one, as a VM that is behind may offer it.
+const test_case Versions("frontend: an older configuration is ignored", [] {
   vm Vm;
   Vm.configure(5);
   Vm.Entry->setConfiguration({}, "");
--- a/src/yuccaplank/entry/operator_api.cpp
+++ b/src/yuccaplank/entry/operator_api.cpp
@@ -15,9 +15,10 @@
   operator_api_impl(const runtime::clock &Clock, const dispatch::entry_vm &Vm, operator_api_options Options)
       : Vm(Vm), Options(std::move(Options)), Burn(makeBurnRecorder(Clock)) {}
 
-  // Callers that leave get no answer, so that their jobs say nothing about the service.
-  void observeAnswer(const dispatch::job_answer &Answer, runtime::duration Took) override {
-    Metrics->observeAnswer(Answer.Outcome, Took);
+  // Cancelled jobs are left out of the burn rate: their callers left or cancelled, so they do not show
+  // whether the objective was met.
+  void observeAnswer(const dispatch::job_answer &Answer, runtime::duration Latency) override {
+    Metrics->observeAnswer(Answer.Outcome, Latency);
     if (Answer.Outcome != dispatch::job_outcome::Cancelled)
       Burn->record(Answer.Queue, Answer.WithinObjective);
   }
@@ -34,18 +35,18 @@
     });
     for (const route &Route : Routes)
       if (Route.Path == Request.Path)
-        return Request.Method == "GET" ? (this->*Route.Handler)(PendingCallers) : error(405);
-    return error(404);
+        return Request.Method == "GET" ? (this->*Route.Handler)(PendingCallers) : makeErrorReply(405);
+    return makeErrorReply(404);
   }
 
 private:
-  static http_reply error(int Status) {
+  static http_reply makeErrorReply(int Status) {
     http_reply Reply;
     Reply.Status = Status;
     Reply.Body = "{}";
     return Reply;
   }
-  static http_reply document(const google::protobuf::Message &Message) {
+  static http_reply makeDocumentReply(const google::protobuf::Message &Message) {
     http_reply Reply;
     Reply.Body = wire::writeDocument(Message);
     return Reply;
@@ -54,17 +55,17 @@
   http_reply metrics(std::size_t PendingCallers) {
     http_reply Reply;
     Reply.ContentType = "text/plain; version=0.0.4";
-    Reply.Body = Metrics->text(Vm.state(), PendingCallers);
+    Reply.Body = Metrics->serialize(Vm.state(), PendingCallers);
     return Reply;
   }
-  http_reply fleet(std::size_t /*PendingCallers*/) { return document(Vm.report()); }
+  http_reply fleet(std::size_t /*PendingCallers*/) { return makeDocumentReply(Vm.report()); }
   http_reply burn(std::size_t /*PendingCallers*/) {
     schema::burn_counts Counts;
     Counts.set_vm(Options.Vm);
     Counts.set_objective_percent(Options.ObjectivePercent);
     for (const schema::burn_queue &Queue : Burn->windows())
       *Counts.add_queues() = Queue;
-    return document(Counts);
+    return makeDocumentReply(Counts);
   }
 
   const dispatch::entry_vm &Vm;
--- a/src/yuccaplank/entry/operator_api.hpp
+++ b/src/yuccaplank/entry/operator_api.hpp
@@ -1,4 +1,5 @@
-// What operators can ask an entry VM: metrics, its view of the fleet, and burn counts. Read only.
+// Read-only HTTP interface for operators of an entry VM: metrics, the VM's view of the fleet, and burn
+// counts.
 #pragma once
 
 #include "burn_recorder.hpp"
@@ -12,15 +13,16 @@
 
 struct operator_api_options {
   std::string Vm;
-  /// Share of the jobs of a queue that should be answered within their objective.
+  /// Percentage of a queue's jobs that should be answered within their objective.
   double ObjectivePercent = 95;
 };
 
 class operator_api {
 public:
   virtual ~operator_api() = default;
-  /// A caller got its answer this time after its request.
-  virtual void observeAnswer(const dispatch::job_answer &Answer, runtime::duration Took) = 0;
+  /// Records the answer to a caller; Latency is the time since its request.
+  virtual void observeAnswer(const dispatch::job_answer &Answer, runtime::duration Latency) = 0;
+  /// Returns the reply to a request; PendingCallers is the number of callers that wait for an answer.
   virtual wire::http_reply reply(const wire::http_request &Request, std::size_t PendingCallers) = 0;
 };
 
--- a/src/yuccaplank/entry/own_settings.cpp
+++ b/src/yuccaplank/entry/own_settings.cpp
@@ -18,17 +18,17 @@
 
 constexpr double DefaultObjectivePercent = 95;
 
-void replaceBy(double Value, double &Default) {
+void overrideIfSet(double Value, double &Option) {
   if (Value > 0)
-    Default = Value;
+    Option = Value;
 }
 
 } // namespace
 
 void applyOwnSettings(const schema::daemon_settings &Settings, dispatch::entry_vm_options &Options) {
-  replaceBy(Settings.placement().late_factor(), Options.Coordinator.LateFactor);
-  replaceBy(Settings.placement().max_wait_share(), Options.Placement.MaxWaitShare);
-  replaceBy(Settings.placement().estimate_margin(), Options.Placement.EstimateMargin);
+  overrideIfSet(Settings.placement().late_factor(), Options.Coordinator.LateFactor);
+  overrideIfSet(Settings.placement().max_wait_share(), Options.Placement.MaxWaitShare);
+  overrideIfSet(Settings.placement().estimate_margin(), Options.Placement.EstimateMargin);
 }
 
 frontend_options frontendOptions(const schema::daemon_settings &Settings) {
--- a/src/yuccaplank/entry/own_settings.hpp
+++ b/src/yuccaplank/entry/own_settings.hpp
@@ -1,4 +1,5 @@
-// The product's own settings, put into the options that they are for; 0 and empty leave the default.
+// Converts the product's own settings into options of its components. A value of 0 or an empty text selects
+// the default.
 #pragma once
 
 #include "frontend.hpp"
@@ -11,7 +12,7 @@
 void applyOwnSettings(const schema::daemon_settings &Settings, dispatch::entry_vm_options &Options);
 frontend_options frontendOptions(const schema::daemon_settings &Settings);
 runtime::log_level logLevel(const schema::daemon_settings &Settings);
-/// Share of the jobs of a queue that should be answered within their objective.
+/// Percentage of a queue's jobs that should be answered within their objective.
 double objectivePercent(const schema::daemon_settings &Settings);
 
 } // namespace yuccaplank::entry
--- a/src/yuccaplank/entry/table_watch.cpp
+++ b/src/yuccaplank/entry/table_watch.cpp
@@ -15,56 +15,57 @@
   table_watch_impl(runtime::executor &Executor, platform::store_client &Store, table_watch_options Options,
                    std::function<void()> OnChange)
       : Executor(Executor), Store(Store), Options(std::move(Options)), OnChange(std::move(OnChange)) {
-    readAll("");
+    readPage("");
   }
   table_watch_impl(const table_watch_impl &) = delete;
   table_watch_impl &operator=(const table_watch_impl &) = delete;
   ~table_watch_impl() override = default;
 
-  void setWait(runtime::duration Wait) override { Options.Wait = Wait; }
+  void setLongPollTimeout(runtime::duration Timeout) override { Options.LongPollTimeout = Timeout; }
   [[nodiscard]] const std::map<std::string, store_row> &rows() const override { return Rows; }
-  [[nodiscard]] bool current() const override { return Reachable; }
-  [[nodiscard]] runtime::time_point regainedAt() const override { return RegainedAt; }
+  [[nodiscard]] bool lastCallSucceeded() const override { return Reachable; }
+  [[nodiscard]] runtime::time_point reconnectedAt() const override { return ReconnectedAt; }
 
 private:
-  void readAll(const std::string &From) {
+  void readPage(const std::string &From) {
     if (From.empty())
-      Incoming.clear();
-    Store.rows(Options.Table, From, Lifetime.guard([this](const auto &Page) { onAll(Page); }));
+      PendingRows.clear();
+    Store.rows(Options.Table, From, Lifetime.guard([this](const auto &Page) { onPage(Page); }));
   }
 
-  void onAll(const runtime::result<store_page> &Page) {
-    if (!noteOutcome(Page)) {
-      later(Options.RetryDelay, [this] { readAll(""); });
+  void onPage(const runtime::result<store_page> &Page) {
+    if (!recordOutcome(Page)) {
+      schedule(Options.RetryDelay, [this] { readPage(""); });
       return;
     }
-    // Changes after the first page are told by the feed.
-    if (Incoming.empty())
+    // The feed is polled from the version of the first page on, so it delivers rows changed during later
+    // pages.
+    if (PendingRows.empty())
       Version = Page.value().Version;
     for (const store_row &Row : Page.value().Rows)
-      Incoming[Row.Key] = Row;
+      PendingRows[Row.Key] = Row;
     if (Page.value().HasMore && !Page.value().Rows.empty()) {
-      // The smallest key after the last one read.
-      readAll(Page.value().Rows.back().Key + '\x01');
+      // The next page starts at the smallest key after the last one read.
+      readPage(Page.value().Rows.back().Key + '\x01');
       return;
     }
-    Rows.swap(Incoming);
-    Incoming.clear();
+    Rows.swap(PendingRows);
+    PendingRows.clear();
     OnChange();
-    follow();
+    poll();
   }
 
-  void followSoon() {
-    runtime::duration Left = FollowedAt + Options.Interval - Executor.clock().now();
-    if (Left <= runtime::duration::zero())
-      follow();
+  void schedulePoll() {
+    runtime::duration Delay = LastPollAt + Options.MinInterval - Executor.clock().now();
+    if (Delay <= runtime::duration::zero())
+      poll();
     else
-      later(Left, [this] { follow(); });
+      schedule(Delay, [this] { poll(); });
   }
 
-  void follow() {
-    FollowedAt = Executor.clock().now();
-    Store.changes(Options.Table, Version, Options.Wait,
+  void poll() {
+    LastPollAt = Executor.clock().now();
+    Store.changes(Options.Table, Version, Options.LongPollTimeout,
                   Lifetime.guard([this](const auto &Page) { onChanges(Page); }));
   }
 
@@ -73,16 +74,17 @@
     if (HistoryGone) {
       log(log_level::Info, "store_history_gone",
           {{"table", Options.Table}, {"version", static_cast<std::int64_t>(Version)}});
-      noteReachable(true, "");
-      readAll("");
+      recordReachable(true, "");
+      readPage("");
       return;
     }
-    if (!noteOutcome(Page)) {
-      later(Options.RetryDelay, [this] { follow(); });
+    if (!recordOutcome(Page)) {
+      schedule(Options.RetryDelay, [this] { poll(); });
       return;
     }
     const std::vector<store_row> &Changed = Page.value().Rows;
-    // A full page may end before the newest version, and a watch that waits between full pages falls behind.
+    // A full page may end before the newest version. The next poll then starts at once, because a watch that
+    // waits between full pages falls behind.
     bool Full = !Changed.empty() && (Page.value().HasMore || Changed.size() >= platform::MaxPageRows);
     Version = std::max(Version, Full ? Changed.back().Version : Page.value().Version);
     for (const store_row &Row : Changed)
@@ -90,9 +92,9 @@
     if (!Changed.empty())
       OnChange();
     if (Full)
-      follow();
+      poll();
     else
-      followSoon();
+      schedulePoll();
   }
 
   void applyRow(const store_row &Row) {
@@ -105,17 +107,17 @@
       Rows[Row.Key] = Row;
   }
 
-  bool noteOutcome(const runtime::result<store_page> &Page) {
-    noteReachable(Page.has_value(), Page ? "" : Page.error().message());
+  bool recordOutcome(const runtime::result<store_page> &Page) {
+    recordReachable(Page.has_value(), Page ? "" : Page.error().message());
     return Page.has_value();
   }
 
-  void noteReachable(bool IsReachable, const std::string &Reason) {
-    if (IsReachable == Reachable && Contacted)
+  void recordReachable(bool IsReachable, const std::string &Reason) {
+    if (IsReachable == Reachable && ReachabilityKnown)
       return;
-    if (IsReachable && Contacted)
-      RegainedAt = Executor.clock().now();
-    Contacted = true;
+    if (IsReachable && ReachabilityKnown)
+      ReconnectedAt = Executor.clock().now();
+    ReachabilityKnown = true;
     Reachable = IsReachable;
     if (IsReachable)
       log(log_level::Info, "store_reached", {{"table", Options.Table}});
@@ -123,7 +125,7 @@
       log(log_level::Warning, "store_lost", {{"table", Options.Table}, {"reason", Reason}});
   }
 
-  void later(runtime::duration Delay, std::function<void()> Function) {
+  void schedule(runtime::duration Delay, std::function<void()> Function) {
     Executor.after(Delay, Lifetime.guard(std::move(Function)));
   }
 
@@ -132,12 +134,12 @@
   table_watch_options Options;
   std::function<void()> OnChange;
   std::map<std::string, store_row> Rows;
-  std::map<std::string, store_row> Incoming;
+  std::map<std::string, store_row> PendingRows;
   std::uint64_t Version = 0;
   bool Reachable = false;
-  bool Contacted = false;
-  runtime::time_point RegainedAt{};
-  runtime::time_point FollowedAt{};
+  bool ReachabilityKnown = false;
+  runtime::time_point ReconnectedAt{};
+  runtime::time_point LastPollAt{};
   runtime::lifetime Lifetime;
 };
 
--- a/src/yuccaplank/entry/table_watch_test.cpp
+++ b/src/yuccaplank/entry/table_watch_test.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-// A store that answers when the test says so.
+// A store that holds calls until the test answers them.
 struct store final : platform::store_client {
   using handler = std::function<void(result<store_page>)>;
   std::deque<std::pair<std::string, handler>> Reads;
@@ -51,8 +51,9 @@
   return {std::move(Rows), Version, HasMore};
 }
 
-// Guards against rows that are missed, that come back, or that fall back to an older version.
-const test_case Watch("table watch", [] {
+// Guards against rows that are missed, that reappear after their removal, or that return to an older version,
+// when pages are incomplete, calls fail or the store drops its history.
+const test_case Watch("table watch: the rows follow the table", [] {
   auto Executor = runtime::makeManualExecutor();
   store Store;
   int Changes = 0;
@@ -61,8 +62,8 @@
     auto Found = Watch->rows().find(Key);
     return Found == Watch->rows().end() ? std::string("none") : Found->second.Value;
   };
-  if (auto When =
-          section("a table of two pages is read whole, and changes since the first page are asked for")) {
+  if (auto When = section(
+          "a table of two pages is read completely, and the feed is polled from the first page's version")) {
     Store.answerRead(page({{"a", "1", 3}}, 10, true));
     CPPUNIT_ASSERT_EQUAL(0, Changes);
     CPPUNIT_ASSERT_EQUAL(std::string("a\x01"), Store.Reads.front().first);
@@ -70,7 +71,7 @@
     CPPUNIT_ASSERT_EQUAL(1, Changes);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, Store.Feeds.front().first);
   }
-  if (auto When = section("given a table that was read")) {
+  if (auto When = section("given a table that has been read")) {
     Store.answerRead(page({{"a", "1", 3}, {"b", "2", 4}}, 10));
     if (auto Then = section("changes and removals are applied")) {
       Store.answerFeed(page({{"a", "new", 11}, {"b", "", 12, true}}, 12));
@@ -79,8 +80,8 @@
       Executor->advance(milliseconds(20));
       CPPUNIT_ASSERT_EQUAL(std::uint64_t{12}, Store.Feeds.front().first);
     }
-    if (auto Then = section(
-            "a full page is followed at once from its last row, so that a large table is kept up with")) {
+    if (auto Then =
+            section("after a full page, the feed is polled at once from the version of its last row")) {
       std::vector<store_row> Rows;
       for (std::uint64_t Index = 0; Index < platform::MaxPageRows; ++Index)
         Rows.push_back({fmt::format("s{}", Index), "1", 11 + Index});
@@ -93,17 +94,17 @@
       CPPUNIT_ASSERT_EQUAL(std::string("1"), Value("a"));
     }
     if (auto Then = section(
-            "a failed call is repeated from the same version, and the return of the store is noted")) {
+            "a failed poll is repeated from the same version, and the time of the reconnection is kept")) {
       Store.answerFeed(make_error_code(errc::PlatformUnavailable));
-      CPPUNIT_ASSERT(!Watch->current());
+      CPPUNIT_ASSERT(!Watch->lastCallSucceeded());
       CPPUNIT_ASSERT(Store.Feeds.empty());
       Executor->advance(milliseconds(150));
       CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, Store.Feeds.front().first);
       Store.answerFeed(page({}, 10));
-      CPPUNIT_ASSERT(Watch->current());
-      CPPUNIT_ASSERT(Watch->regainedAt() == Executor->clock().now());
+      CPPUNIT_ASSERT(Watch->lastCallSucceeded());
+      CPPUNIT_ASSERT(Watch->reconnectedAt() == Executor->clock().now());
     }
-    if (auto Then = section("when the history is gone, the table is read anew")) {
+    if (auto Then = section("when the history is gone, the whole table is read again")) {
       Store.answerFeed(make_error_code(errc::NotFound));
       CPPUNIT_ASSERT_EQUAL(std::string("1"), Value("a"));
       Store.answerRead(page({{"b", "3", 20}}, 21));
--- a/src/yuccaplank/entry/vm_metrics.cpp
+++ b/src/yuccaplank/entry/vm_metrics.cpp
@@ -115,11 +115,11 @@
           &AnswerSeconds.Add({{"outcome", std::string(jobOutcomeName(Outcome))}}, AnswerBuckets));
   }
 
-  void observeAnswer(dispatch::job_outcome Outcome, runtime::duration Took) override {
-    Histograms.at(static_cast<std::size_t>(Outcome))->Observe(runtime::toMs(Took) / MsPerSecond);
+  void observeAnswer(dispatch::job_outcome Outcome, runtime::duration Latency) override {
+    Histograms.at(static_cast<std::size_t>(Outcome))->Observe(runtime::toMs(Latency) / MsPerSecond);
   }
 
-  std::string text(const entry_vm_state &State, std::size_t PendingCallers) override {
+  std::string serialize(const entry_vm_state &State, std::size_t PendingCallers) override {
     std::vector<MetricFamily> Families = Registry.Collect();
     for (const metric_entry &Entry : Metrics)
       Families.push_back(runtime::makeMetricFamily(Entry.Name, Entry.Help, Entry.Type, Entry.Value(State)));
--- a/src/yuccaplank/entry/vm_metrics.hpp
+++ b/src/yuccaplank/entry/vm_metrics.hpp
@@ -1,4 +1,4 @@
-// Metrics of an entry VM in the text format of Prometheus.
+// Metrics of an entry VM in the Prometheus text format.
 #pragma once
 
 #include "yuccaplank/dispatch/entry_vm.hpp"
@@ -12,9 +12,10 @@
 class vm_metrics {
 public:
   virtual ~vm_metrics() = default;
-  /// A caller got its answer this time after its request.
-  virtual void observeAnswer(dispatch::job_outcome Outcome, runtime::duration Took) = 0;
-  virtual std::string text(const dispatch::entry_vm_state &State, std::size_t PendingCallers) = 0;
+  /// Records the answer to a caller; Latency is the time since its request.
+  virtual void observeAnswer(dispatch::job_outcome Outcome, runtime::duration Latency) = 0;
+  /// Returns all metrics; PendingCallers is the number of callers that wait for an answer.
+  virtual std::string serialize(const dispatch::entry_vm_state &State, std::size_t PendingCallers) = 0;
 };
 
 std::unique_ptr<vm_metrics> makeVmMetrics();
--- a/src/yuccaplank/entry/vm_process.cpp
+++ b/src/yuccaplank/entry/vm_process.cpp
@@ -21,25 +21,27 @@
 using runtime::log;
 using runtime::log_level;
 
-// The balancer notices within two of its checks, one a second, that the VM takes no new connections.
-constexpr auto RotationTime = std::chrono::milliseconds(2300);
-// Kept of the grace period for closing connections.
-constexpr auto ExitMargin = std::chrono::milliseconds(500);
-// After a longer pause the leases given have ended and other VMs are about to take over.
-constexpr auto PauseLimit = std::chrono::milliseconds(450);
-constexpr auto SettingsCheckInterval = std::chrono::seconds(2);
-constexpr auto DrainCheckInterval = std::chrono::milliseconds(50);
-// Servers keep idle connections longer than this; a new connection costs more than an idle one.
-constexpr auto ServerIdleTime = std::chrono::seconds(10);
-constexpr auto CallerIdleTime = std::chrono::seconds(15);
+// The load balancer checks each VM once a second and stops sending connections to a draining VM within two
+// checks.
+constexpr auto BalancerRemovalDelay = std::chrono::milliseconds(2300);
+// Part of the grace period that is reserved for closing connections.
+constexpr auto ConnectionCloseMargin = std::chrono::milliseconds(500);
+// After a longer pause, the leases that this VM gave have expired and other VMs are about to take over.
+constexpr auto PauseThreshold = std::chrono::milliseconds(450);
+constexpr auto SettingsPollInterval = std::chrono::seconds(2);
+constexpr auto DrainPollInterval = std::chrono::milliseconds(50);
+// Servers keep idle connections open for longer than this, and opening a connection costs more than keeping
+// one.
+constexpr auto ServerIdleTimeout = std::chrono::seconds(10);
+constexpr auto CallerIdleTimeout = std::chrono::seconds(15);
 constexpr std::size_t MaxBodyBytes = 1U << 20U;
-constexpr double ThousandthsOfCore = 1000;
+constexpr double ThousandthsPerCore = 1000;
 
-std::uint32_t strength(const platform::settings &Settings) {
-  return static_cast<std::uint32_t>(Settings.CpuShare * ThousandthsOfCore);
+std::uint32_t toStrength(const platform::settings &Settings) {
+  return static_cast<std::uint32_t>(Settings.CpuShare * ThousandthsPerCore);
 }
 
-std::string incarnationText(const schema::incarnation &Incarnation) {
+std::string formatIncarnation(const schema::incarnation &Incarnation) {
   return fmt::format("{}.{}", Incarnation.started_ms(), Incarnation.nonce());
 }
 
@@ -56,50 +58,50 @@
   ~vm_process_impl() override = default;
 
   runtime::result<void> start() {
-    wire::http_client_options Calls;
-    Calls.IdleTimeout = ServerIdleTime;
-    Calls.ConnectTimeout = std::chrono::milliseconds(250);
-    Client = wire::makeHttpClient(Loop, Calls);
+    wire::http_client_options ClientOptions;
+    ClientOptions.IdleTimeout = ServerIdleTimeout;
+    ClientOptions.ConnectTimeout = std::chrono::milliseconds(250);
+    Client = wire::makeHttpClient(Loop, ClientOptions);
     Orders = platform::makeServerClient(*Client);
     Store = platform::makeStoreClient(*Client, {Settings.StoreAddress});
-    auto VmOptions = vmOptions();
+    auto VmOptions = makeVmOptions();
     if (!VmOptions)
       return VmOptions.error();
     Vm = dispatch::makeEntryVm(Loop, *this, std::move(VmOptions.value()));
-    frontend_handlers CallerSide;
-    CallerSide.Reply = [this](wire::request_token Token, wire::http_reply Reply) {
-      Callers->reply(Token, std::move(Reply));
+    frontend_handlers FrontendHandlers;
+    FrontendHandlers.Reply = [this](wire::request_token Token, wire::http_reply Reply) {
+      CallerServer->reply(Token, std::move(Reply));
     };
-    CallerSide.OnAnswered = [this](const dispatch::job_answer &Answer, runtime::duration Took) {
-      Operators->observeAnswer(Answer, Took);
+    FrontendHandlers.OnAnswered = [this](const dispatch::job_answer &Answer, runtime::duration Latency) {
+      OperatorApi->observeAnswer(Answer, Latency);
     };
-    Frontend = makeFrontend(Loop, *Vm, std::move(CallerSide), frontendOptions(Options.Own));
-    Operators = makeOperatorApi(Loop.clock(), *Vm, {Settings.Vm, objectivePercent(Options.Own)});
+    Frontend = makeFrontend(Loop, *Vm, std::move(FrontendHandlers), frontendOptions(Options.OwnSettings));
+    OperatorApi = makeOperatorApi(Loop.clock(), *Vm, {Settings.Vm, objectivePercent(Options.OwnSettings)});
     if (auto Listening = listen(); !Listening)
       return Listening;
     Vm->addSeeds(Settings.Seeds);
     Directory = makeDirectory(Loop, *Store, *Vm,
-                              {Settings.Vm, Settings.PeerAddress, Settings.Domain, strength(Settings)});
+                              {Settings.Vm, Settings.PeerAddress, Settings.Domain, toStrength(Settings)});
     return BOOST_OUTCOME_V2_NAMESPACE::success();
   }
 
   int run() override {
     Loop.setSignalHandler([this](int Signal) { onSignal(Signal); });
-    Loop.setPauseHandler(PauseLimit, [this](runtime::duration Pause) {
+    Loop.setPauseHandler(PauseThreshold, [this](runtime::duration Pause) {
       log(log_level::Warning, "paused", {{"pause_ms", runtime::toMs(Pause)}});
       Vm->onPause();
     });
-    if (Options.SettingsText) {
-      SettingsText = Options.SettingsText();
+    if (Options.ReadSettingsText) {
+      LastSettingsText = Options.ReadSettingsText();
       watchSettings();
     }
     Loop.run();
-    log(log_level::Info, "stopped", {{"abandoned", static_cast<std::int64_t>(Frontend->pending())}});
+    log(log_level::Info, "stopped", {{"abandoned", static_cast<std::int64_t>(Frontend->pendingCallers())}});
     return 0;
   }
 
 private:
-  // Ports of the entry VM.
+  // Implementation of dispatch::entry_vm_ports.
 
   void send(const std::string &Name, const std::string &Address, schema::dispatch_message Message) override {
     schema::envelope Envelope;
@@ -113,29 +115,29 @@
     Frontend->answer(Job, Answer);
   }
   void onTermRaised(std::uint32_t Term) override { Directory->setTerm(Term); }
-  void onServersNeeded(bool Needed) override { Directory->followServers(Needed); }
-  void onStaleRegistration(const std::string &Name) override { Directory->removeStale(Name); }
+  void onServersNeeded(bool Needed) override { Directory->setServerWatch(Needed); }
+  void onStaleRegistration(const std::string &Name) override { Directory->removeStaleEntry(Name); }
   void onConfigurationOffered(const schema::configuration_copy &Copy) override {
     applyConfiguration(*Vm, Copy.document());
   }
 
-  // Bounds under which a resent job could run twice are an error.
-  [[nodiscard]] runtime::result<dispatch::entry_vm_options> vmOptions() const {
+  // Fails if the platform's time limits would allow a resent job to run twice.
+  [[nodiscard]] runtime::result<dispatch::entry_vm_options> makeVmOptions() const {
     dispatch::entry_vm_options Result;
     Result.Vm = Settings.Vm;
     Result.Address = Settings.PeerAddress;
     Result.Domain = Settings.Domain;
     Result.View.ClockOrigin = Identity.nonce();
-    Result.Strength = strength(Settings);
-    applyOwnSettings(Options.Own, Result);
+    Result.Strength = toStrength(Settings);
+    applyOwnSettings(Options.OwnSettings, Result);
     dispatch::platform_bounds Bounds;
     Bounds.MaxLease = std::chrono::milliseconds(Settings.MaxLeaseMs);
-    Bounds.Resend = std::chrono::milliseconds(Settings.ResendMs);
-    Bounds.StopTime = std::chrono::milliseconds(Settings.StopTimeMs);
+    Bounds.Resend = std::chrono::milliseconds(Settings.ResendDelayMs);
+    Bounds.StopTime = std::chrono::milliseconds(Settings.StopTimeoutMs);
     if (!dispatch::applyBounds(Bounds, Result)) {
       log(log_level::Error, "bounds_too_short",
           {{"max_lease_ms", std::int64_t{Settings.MaxLeaseMs}},
-           {"resend_ms", std::int64_t{Settings.ResendMs}}});
+           {"resend_ms", std::int64_t{Settings.ResendDelayMs}}});
       return make_error_code(runtime::errc::OutOfRange);
     }
     return Result;
@@ -144,7 +146,8 @@
   runtime::result<void> listen() {
     wire::peer_transport_options Transport;
     Transport.Address = Settings.PeerAddress;
-    // The internal ports are reachable from the deployment's own VMs only; the key tells deployments apart.
+    // The key need not be secret: it only distinguishes deployments, and the peer ports are reachable only
+    // from VMs of the same deployment.
     Transport.Key = "yuccaplank " + Settings.StoreAddress;
     Transport.Self = Identity;
     Transport.Domain = Settings.Domain;
@@ -158,17 +161,17 @@
       Frontend->onRequest(std::move(Request));
     };
     CallerHandlers.OnClosed = [this](wire::request_token Token) { Frontend->onClosed(Token); };
-    if (auto Made = listenHttp(Settings.CallerAddress, CallerHandlers, Callers); !Made)
-      return Made;
-    wire::http_server_handlers ReadyHandlers;
-    ReadyHandlers.OnRequest = [this](const wire::http_request &Request) { onReadyCheck(Request); };
-    if (auto Made = listenHttp(Settings.ReadyAddress, ReadyHandlers, Ready); !Made)
-      return Made;
+    if (auto Listening = listenHttp(Settings.CallerAddress, CallerHandlers, CallerServer); !Listening)
+      return Listening;
+    wire::http_server_handlers ReadinessHandlers;
+    ReadinessHandlers.OnRequest = [this](const wire::http_request &Request) { onReadinessCheck(Request); };
+    if (auto Listening = listenHttp(Settings.ReadyAddress, ReadinessHandlers, ReadinessServer); !Listening)
+      return Listening;
     if (Options.OperatorPort == 0)
       return BOOST_OUTCOME_V2_NAMESPACE::success();
     wire::http_server_handlers OperatorHandlers;
     OperatorHandlers.OnRequest = [this](const wire::http_request &Request) {
-      OperatorServer->reply(Request.Token, Operators->reply(Request, Frontend->pending()));
+      OperatorServer->reply(Request.Token, OperatorApi->reply(Request, Frontend->pendingCallers()));
     };
     return listenHttp(fmt::format("{}:{}", Settings.Ip, Options.OperatorPort), OperatorHandlers,
                       OperatorServer);
@@ -179,11 +182,11 @@
     wire::http_server_options ServerOptions;
     ServerOptions.Address = Address;
     ServerOptions.MaxBodyBytes = MaxBodyBytes;
-    ServerOptions.RequestTimeout = CallerIdleTime;
-    auto Made = wire::makeHttpServer(Loop, ServerOptions, std::move(Handlers));
-    if (!Made)
-      return Made.error();
-    Server = std::move(Made.value());
+    ServerOptions.RequestTimeout = CallerIdleTimeout;
+    auto NewServer = wire::makeHttpServer(Loop, ServerOptions, std::move(Handlers));
+    if (!NewServer)
+      return NewServer.error();
+    Server = std::move(NewServer.value());
     return BOOST_OUTCOME_V2_NAMESPACE::success();
   }
 
@@ -192,7 +195,7 @@
     Handlers.OnMessage = [this](const schema::incarnation &From, const std::string &,
                                 const schema::envelope &Message) {
       if (Message.has_dispatch())
-        Vm->onMessage(From.vm(), incarnationText(From), Message.dispatch());
+        Vm->onMessage(From.vm(), formatIncarnation(From), Message.dispatch());
     };
     Handlers.OnClosed = [this](const schema::incarnation &Peer) { Vm->onClosed(Peer.vm()); };
     Handlers.OnConnectFailed = [this](const std::string &Address, std::error_code) {
@@ -201,16 +204,16 @@
     return Handlers;
   }
 
-  void onReadyCheck(const wire::http_request &Request) {
+  void onReadinessCheck(const wire::http_request &Request) {
     wire::http_reply Reply;
     Reply.Status = Vm->ready() ? 200 : 503;
     Reply.Body = "{}";
-    Ready->reply(Request.Token, std::move(Reply));
+    ReadinessServer->reply(Request.Token, std::move(Reply));
     if (std::exchange(WasReady, Vm->ready()) != Vm->ready())
       log(log_level::Info, "readiness_changed", {{"ready", Vm->ready()}});
   }
 
-  // Signals.
+  // Signals and reloading of settings.
 
   void onSignal(int Signal) {
     if (Signal == SIGHUP) {
@@ -218,36 +221,36 @@
       return;
     }
     log(log_level::Info, "stopping",
-        {{"signal", std::int64_t{Signal}}, {"jobs", std::int64_t(Frontend->pending())}});
+        {{"signal", std::int64_t{Signal}}, {"jobs", std::int64_t(Frontend->pendingCallers())}});
     if (std::exchange(Draining, true)) {
       Loop.stop();
       return;
     }
-    DrainStarted = Loop.clock().now();
+    DrainStartedAt = Loop.clock().now();
     Vm->drain();
     Directory->unregister([] {});
-    Loop.after(RotationTime, [this] {
-      Callers->shutdown();
+    Loop.after(BalancerRemovalDelay, [this] {
+      CallerServer->shutdown();
       checkDrained();
     });
   }
 
   void checkDrained() {
-    auto Allowed = runtime::fromMs(Settings.GracePeriodS * 1000) - ExitMargin;
-    bool TimeIsUp = Loop.clock().now() - DrainStarted >= Allowed;
-    if (TimeIsUp || (Frontend->pending() == 0 && Callers->pendingRequests() == 0 && Vm->state().Jobs == 0 &&
-                     Vm->state().Servers.Runs == 0)) {
+    auto DrainTimeout = runtime::fromMs(Settings.GracePeriodS * 1000) - ConnectionCloseMargin;
+    bool GracePeriodEnded = Loop.clock().now() - DrainStartedAt >= DrainTimeout;
+    if (GracePeriodEnded || (Frontend->pendingCallers() == 0 && CallerServer->pendingRequests() == 0 &&
+                             Vm->state().Jobs == 0 && Vm->state().Servers.Runs == 0)) {
       Loop.stop();
       return;
     }
-    Loop.after(DrainCheckInterval, [this] { checkDrained(); });
+    Loop.after(DrainPollInterval, [this] { checkDrained(); });
   }
 
-  // The platform changes the file without a signal at times.
+  // The platform sometimes changes its settings file without sending SIGHUP.
   void watchSettings() {
-    Loop.after(SettingsCheckInterval, [this] {
-      std::string Text = Options.SettingsText();
-      if (std::exchange(SettingsText, Text) != Text)
+    Loop.after(SettingsPollInterval, [this] {
+      std::string Text = Options.ReadSettingsText();
+      if (std::exchange(LastSettingsText, Text) != Text)
         reload();
       watchSettings();
     });
@@ -255,12 +258,12 @@
 
   void reload() {
     platform::settings Updated;
-    schema::daemon_settings Own;
-    bool Readable = Options.ReadSettings && Options.ReadSettings(Updated, Own);
+    schema::daemon_settings OwnSettings;
+    bool Readable = Options.ReadSettings && Options.ReadSettings(Updated, OwnSettings);
     log(Readable ? log_level::Info : log_level::Error, "settings_reloaded", {{"accepted", Readable}});
     if (!Readable)
       return;
-    runtime::setLogLevel(logLevel(Own));
+    runtime::setLogLevel(logLevel(OwnSettings));
     Settings.Seeds = Updated.Seeds;
     Settings.GracePeriodS = Updated.GracePeriodS;
     Vm->addSeeds(Settings.Seeds);
@@ -274,16 +277,16 @@
   std::unique_ptr<dispatch::server_orders> Orders;
   std::unique_ptr<platform::store_client> Store;
   std::unique_ptr<wire::peer_transport> Peers;
-  std::unique_ptr<wire::http_server> Callers;
-  std::unique_ptr<wire::http_server> Ready;
+  std::unique_ptr<wire::http_server> CallerServer;
+  std::unique_ptr<wire::http_server> ReadinessServer;
   std::unique_ptr<wire::http_server> OperatorServer;
   std::unique_ptr<dispatch::entry_vm> Vm;
-  std::unique_ptr<operator_api> Operators;
+  std::unique_ptr<operator_api> OperatorApi;
   std::unique_ptr<frontend> Frontend;
   std::unique_ptr<directory> Directory;
-  // As last read.
-  std::string SettingsText;
-  runtime::time_point DrainStarted{};
+  // Content of the settings files as last read.
+  std::string LastSettingsText;
+  runtime::time_point DrainStartedAt{};
   bool Draining = false;
   bool WasReady = false;
 };
--- a/src/yuccaplank/entry/vm_process.hpp
+++ b/src/yuccaplank/entry/vm_process.hpp
@@ -1,4 +1,4 @@
-// The process of an entry VM on the platform: sockets, signals, and the parts between them.
+// The process of an entry VM: connects its components to sockets, signals and settings files.
 #pragma once
 
 #include "settings.pb.h"
@@ -13,19 +13,20 @@
 
 struct vm_process_options {
   platform::settings Settings;
-  schema::daemon_settings Own;
-  /// Port for operators, on the VM's address; 0 serves none.
+  schema::daemon_settings OwnSettings;
+  /// Port of the operators' interface on the VM's address; 0 disables it.
   std::uint16_t OperatorPort = 0;
-  /// Reads both settings files again; false leaves the settings as they are.
+  /// Reads both settings files again; returns false if they are invalid and must not be applied.
   std::function<bool(platform::settings &, schema::daemon_settings &)> ReadSettings;
-  /// Content of the settings files, which change without a signal too; optional.
-  std::function<std::string()> SettingsText;
+  /// Returns the content of the settings files, which is polled because they also change without a signal.
+  /// Optional.
+  std::function<std::string()> ReadSettingsText;
 };
 
 class vm_process {
 public:
   virtual ~vm_process() = default;
-  /// Serves until SIGTERM and the end of the drain; returns the exit status.
+  /// Serves until a drain that SIGTERM or SIGINT started has ended; returns the exit status.
   virtual int run() = 0;
 };
 
--- a/src/yuccaplank/entry/yuccaplankd_main.cpp
+++ b/src/yuccaplank/entry/yuccaplankd_main.cpp
@@ -22,22 +22,22 @@
 constexpr int ExitUsage = 2;
 
 struct settings_files {
-  // Written by the platform.
+  // Path of the file that the platform writes.
   std::string Platform;
-  // The product's own; empty for the defaults.
+  // Path of the product's own settings; empty for the defaults.
   std::string Own;
 };
 
-std::optional<std::string> contentOf(const std::string &File) {
+std::optional<std::string> tryReadFile(const std::string &File) {
   std::ifstream Stream(File);
   if (!Stream)
     return std::nullopt;
   return std::string(std::istreambuf_iterator<char>(Stream), {});
 }
 
-// All programs of the product report what is wrong on standard error.
+// Like all programs of the product, reports errors on standard error.
 std::optional<std::string> readFile(const std::string &File) {
-  auto Content = contentOf(File);
+  auto Content = tryReadFile(File);
   if (!Content)
     fmt::print(stderr, "{}: cannot be read\n", File);
   return Content;
@@ -72,15 +72,15 @@
 
 int serve(const settings_files &Files, entry::vm_process_options Options) {
   runtime::logToStandardOutput();
-  runtime::setLogLevel(entry::logLevel(Options.Own));
+  runtime::setLogLevel(entry::logLevel(Options.OwnSettings));
   runtime::raiseDescriptorLimit();
   auto Loop = runtime::makeLoop();
   platform::settings Settings = Options.Settings;
   Options.ReadSettings = [Files](platform::settings &Updated, schema::daemon_settings &Own) {
     return readSettings(Files, Updated, Own);
   };
-  Options.SettingsText = [Files] {
-    return contentOf(Files.Platform).value_or("") + contentOf(Files.Own).value_or("");
+  Options.ReadSettingsText = [Files] {
+    return tryReadFile(Files.Platform).value_or("") + tryReadFile(Files.Own).value_or("");
   };
   auto Process = entry::makeVmProcess(*Loop, std::move(Options));
   if (!Process) {
@@ -96,8 +96,8 @@
 
 int main(int Count, char **Arguments) {
   const char *FromEnvironment = std::getenv(platform::SettingsVariable);
-  options::options_description Described("yuccaplankd [options]");
-  Described.add_options()("help,h", "show this text") //
+  options::options_description Description("yuccaplankd [options]");
+  Description.add_options()("help,h", "show this text") //
       ("settings,s", options::value<std::string>()->default_value(FromEnvironment ? FromEnvironment : ""),
        "settings file of the platform (default: the file that YUCCAPLANK_BOOT names)") //
       ("own-settings", options::value<std::string>()->default_value(""),
@@ -105,23 +105,24 @@
       ("check-settings", "check the settings files and exit")               //
       ("operator-port", options::value<std::uint16_t>()->default_value(0),
        "port for metrics and reports; 0 serves none");
-  options::variables_map Given;
+  options::variables_map ParsedOptions;
   try {
-    options::store(options::parse_command_line(Count, Arguments, Described), Given);
+    options::store(options::parse_command_line(Count, Arguments, Description), ParsedOptions);
   } catch (const options::error &Error) {
     fmt::print(stderr, "{}\n", Error.what());
     return ExitUsage;
   }
-  if (Given.count("help") > 0) {
-    std::cout << Described;
+  if (ParsedOptions.count("help") > 0) {
+    std::cout << Description;
     return 0;
   }
-  settings_files Files{Given["settings"].as<std::string>(), Given["own-settings"].as<std::string>()};
+  settings_files Files{ParsedOptions["settings"].as<std::string>(),
+                       ParsedOptions["own-settings"].as<std::string>()};
   entry::vm_process_options Options;
-  if (!readSettings(Files, Options.Settings, Options.Own))
+  if (!readSettings(Files, Options.Settings, Options.OwnSettings))
     return ExitUsage;
-  if (Given.count("check-settings") > 0)
+  if (ParsedOptions.count("check-settings") > 0)
     return 0;
-  Options.OperatorPort = Given["operator-port"].as<std::uint16_t>();
+  Options.OperatorPort = ParsedOptions["operator-port"].as<std::uint16_t>();
   return serve(Files, std::move(Options));
 }
--- a/src/yuccaplank/platform/base64.hpp
+++ b/src/yuccaplank/platform/base64.hpp
@@ -1,4 +1,4 @@
-// Base64, in which the platform's store keeps values.
+// Base64, the encoding of values in the platform's store.
 #pragma once
 
 #include <optional>
@@ -8,7 +8,7 @@
 namespace yuccaplank::platform {
 
 std::string encodeBase64(std::string_view Bytes);
-/// Nothing for text that is not base64 with padding.
+/// Returns nullopt for a text that is not base64 with padding.
 std::optional<std::string> decodeBase64(std::string_view Text);
 
 } // namespace yuccaplank::platform
--- a/src/yuccaplank/platform/caller_client.cpp
+++ b/src/yuccaplank/platform/caller_client.cpp
@@ -22,19 +22,19 @@
     {"running", caller_outcome::Pending},
 });
 
-wire::http_call makeCall(const char *Method, const std::string &Entry, const queue_address &Queue,
+wire::http_call makeCall(const char *Method, const std::string &EntryAddress, const queue_address &Queue,
                          const std::string &Name) {
   wire::http_call Call;
   Call.Method = Method;
-  Call.Address = Entry;
+  Call.Address = EntryAddress;
   Call.Host = Queue.Host;
   Call.Path = Queue.Path + Name;
   return Call;
 }
 
-std::string idText(std::uint64_t Job) { return fmt::format("{:016x}", Job); }
+std::string formatJobId(std::uint64_t Job) { return fmt::format("{:016x}", Job); }
 
-caller_outcome outcomeOfStatus(int Status) {
+caller_outcome outcomeOf(int Status) {
   switch (Status) {
   case 404:
   case 410:
@@ -51,7 +51,7 @@
   }
 }
 
-std::uint32_t retryAfter(const wire::http_call_result &Result) {
+std::uint32_t parseRetryAfter(const wire::http_call_result &Result) {
   std::string_view Text = Result.header("retry-after");
   std::uint32_t Seconds = 0;
   std::from_chars(Text.data(), Text.data() + Text.size(), Seconds);
@@ -71,8 +71,9 @@
 
 } // namespace
 
-wire::http_call makeSubmitCall(const std::string &Entry, const queue_address &Queue, const caller_job &Job) {
-  wire::http_call Call = makeCall("POST", Entry, Queue, idText(Job.Id));
+wire::http_call makeSubmitCall(const std::string &EntryAddress, const queue_address &Queue,
+                               const caller_job &Job) {
+  wire::http_call Call = makeCall("POST", EntryAddress, Queue, formatJobId(Job.Id));
   json Step{{"count", Job.TaskCount},
             {"cpu", Job.TaskSize.cpu()},
             {"memory_limit_mb", Job.TaskSize.memory_mb()},
@@ -88,16 +89,18 @@
   return Call;
 }
 
-wire::http_call makeStateCall(const std::string &Entry, const queue_address &Queue, std::uint64_t Job) {
-  return makeCall("GET", Entry, Queue, idText(Job));
+wire::http_call makeStateCall(const std::string &EntryAddress, const queue_address &Queue,
+                              std::uint64_t Job) {
+  return makeCall("GET", EntryAddress, Queue, formatJobId(Job));
 }
 
-wire::http_call makeCancelCall(const std::string &Entry, const queue_address &Queue, std::uint64_t Job) {
-  return makeCall("DELETE", Entry, Queue, idText(Job));
+wire::http_call makeCancelCall(const std::string &EntryAddress, const queue_address &Queue,
+                               std::uint64_t Job) {
+  return makeCall("DELETE", EntryAddress, Queue, formatJobId(Job));
 }
 
-wire::http_call makeWaitingCountCall(const std::string &Entry, const queue_address &Queue) {
-  return makeCall("GET", Entry, Queue, "");
+wire::http_call makeWaitingCountCall(const std::string &EntryAddress, const queue_address &Queue) {
+  return makeCall("GET", EntryAddress, Queue, "");
 }
 
 caller_answer decodeCallerAnswer(const wire::http_call_result &Result) {
@@ -105,7 +108,7 @@
     return {caller_outcome::Unanswered, 0, Result.Error.message()};
   if (Result.Status >= 200 && Result.Status < 300)
     return readState(Result);
-  return {outcomeOfStatus(Result.Status), retryAfter(Result), fmt::format("HTTP status {}", Result.Status)};
+  return {outcomeOf(Result.Status), parseRetryAfter(Result), fmt::format("HTTP status {}", Result.Status)};
 }
 
 std::optional<std::uint32_t> decodeWaitingCount(const wire::http_call_result &Result) {
--- a/src/yuccaplank/platform/documents.cpp
+++ b/src/yuccaplank/platform/documents.cpp
@@ -12,8 +12,8 @@
 constexpr auto StateNames =
     std::to_array<std::string_view>({"queued", "running", "completed", "failed", "cancelled"});
 
-void readSize(const json &Value, const std::string &Path, schema::task_size &Size,
-              std::vector<field_issue> &Issues) {
+void readTaskSize(const json &Value, const std::string &Path, schema::task_size &Size,
+                  std::vector<field_issue> &Issues) {
   object_reader Reader(Value, Path, Issues);
   std::uint32_t Cpu = 0;
   std::uint32_t MemoryMb = 0;
@@ -47,7 +47,7 @@
   step_document Step;
   object_reader Reader(Value, Path, Issues);
   Reader.requiredInteger("count", Step.TaskCount);
-  readSize(Value, Path, Step.TaskSize, Issues);
+  readTaskSize(Value, Path, Step.TaskSize, Issues);
   Reader.optionalInteger("estimated_ms", Step.EstimateMs);
   Step.Dependencies = Reader.child("after", false, true).size();
   Reader.optionalFlag("gang", Step.Gang);
@@ -58,8 +58,8 @@
   return Step;
 }
 
-// Labels hold the server's kind and its rack; a rack is written "rNUMBER-NUMBER".
-bool isRack(std::string_view Label) {
+// A server's labels include its kind and its rack; the label of a rack has the form "rNUMBER-NUMBER".
+bool isRackLabel(std::string_view Label) {
   return Label.size() >= 4 && Label[0] == 'r' && Label.find('-') != std::string_view::npos;
 }
 
@@ -92,9 +92,9 @@
   Reader.requiredText("address", Entry.Target.Address);
   Reader.requiredText("zone", Entry.Domain);
   Reader.requiredText("state", State);
-  readSize(Reader.child("capacity", true, false), "capacity", Entry.Capacity, Issues);
+  readTaskSize(Reader.child("capacity", true, false), "capacity", Entry.Capacity, Issues);
   for (const json &Label : Reader.child("labels", false, true))
-    if (Label.is_string() && isRack(Label.get<std::string>()))
+    if (Label.is_string() && isRackLabel(Label.get<std::string>()))
       Entry.Rack = Label.get<std::string>();
   if (Entry.Rack.empty())
     Entry.Rack = Id;
@@ -130,7 +130,7 @@
   return Value;
 }
 
-std::string encodeState(shown_state State) {
+std::string encodeState(caller_job_state State) {
   return json{{"state", StateNames.at(static_cast<std::size_t>(State))}}.dump();
 }
 
--- a/src/yuccaplank/platform/documents_test.cpp
+++ b/src/yuccaplank/platform/documents_test.cpp
@@ -18,50 +18,53 @@
   "bounds":{"grace_period_s":6},"orders":"request","something_new":{"x":1}})";
 
 std::string without(std::string Text, const std::string &Part) {
-  auto At = Text.find(Part);
-  CPPUNIT_ASSERT(At != std::string::npos);
-  return Text.erase(At, Part.size());
+  auto Position = Text.find(Part);
+  CPPUNIT_ASSERT(Position != std::string::npos);
+  return Text.erase(Position, Part.size());
 }
 
-// Guards against a process that starts with half of its settings, and against one that refuses a new field.
-const test_case SettingsFile("platform settings", [] {
-  settings Read;
-  if (auto When = section("given all fields and one that is not known")) {
-    CPPUNIT_ASSERT(readSettings(Settings, Read).empty());
-    CPPUNIT_ASSERT_EQUAL(std::string("10.1.0.13:3"), Read.PeerAddress);
-    CPPUNIT_ASSERT_EQUAL(std::string("10.9.0.1:4"), Read.StoreAddress);
-    CPPUNIT_ASSERT_EQUAL(0.25, Read.CpuShare);
-  }
-  if (auto When = section("given a missing field, it is named")) {
-    auto Issues = readSettings(without(Settings, R"("ready":"10.1.0.13:2",)"), Read);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Issues.size());
-    CPPUNIT_ASSERT_EQUAL(std::string("listen_addresses.ready"), Issues.at(0).Path);
-    CPPUNIT_ASSERT(Issues.at(0).Reason == runtime::errc::MissingField);
-  }
-  if (auto When = section("given a wrong type, it is named")) {
-    auto Issues = readSettings(R"({"node":7})", Read);
-    CPPUNIT_ASSERT_EQUAL(std::string("node"), Issues.at(0).Path);
-    CPPUNIT_ASSERT(Issues.at(0).Reason == runtime::errc::WrongType);
-  }
-  if (auto When = section("given no JSON object")) {
-    for (const char *Text : {"", "[]", "{", "null"})
-      CPPUNIT_ASSERT(readSettings(Text, Read).at(0).Reason == runtime::errc::MalformedDocument);
-  }
-});
+// Guards against a process that starts with incomplete settings, and against one that rejects a field added
+// by a newer platform.
+const test_case
+    SettingsFile("platform settings: a settings file is read completely or its faults are returned", [] {
+      settings Decoded;
+      if (auto When = section("given all fields and an unknown one, there is no issue")) {
+        CPPUNIT_ASSERT(readSettings(Settings, Decoded).empty());
+        CPPUNIT_ASSERT_EQUAL(std::string("10.1.0.13:3"), Decoded.PeerAddress);
+        CPPUNIT_ASSERT_EQUAL(std::string("10.9.0.1:4"), Decoded.StoreAddress);
+        CPPUNIT_ASSERT_EQUAL(0.25, Decoded.CpuShare);
+      }
+      if (auto When = section("given a missing field, the issue names it")) {
+        auto Issues = readSettings(without(Settings, R"("ready":"10.1.0.13:2",)"), Decoded);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Issues.size());
+        CPPUNIT_ASSERT_EQUAL(std::string("listen_addresses.ready"), Issues.at(0).Path);
+        CPPUNIT_ASSERT(Issues.at(0).Reason == runtime::errc::MissingField);
+      }
+      if (auto When = section("given a field of the wrong type, the issue names it")) {
+        auto Issues = readSettings(R"({"node":7})", Decoded);
+        CPPUNIT_ASSERT_EQUAL(std::string("node"), Issues.at(0).Path);
+        CPPUNIT_ASSERT(Issues.at(0).Reason == runtime::errc::WrongType);
+      }
+      if (auto When = section("given a text that is not a JSON object, the document is malformed")) {
+        for (const char *Text : {"", "[]", "{", "null"})
+          CPPUNIT_ASSERT(readSettings(Text, Decoded).at(0).Reason == runtime::errc::MalformedDocument);
+      }
+    });
 
-// Guards against a configuration or a server entry of another writer that is taken for a valid one.
-const test_case Documents("platform documents", [] {
-  if (auto When = section("given a configuration")) {
-    auto Read = decodeConfiguration(R"({"version":7,"routes":[{"name":"r","host":"h","path_prefix":"/p/",
+// Guards against an invalid configuration or server entry that is accepted, and against fields of a valid one
+// that are lost.
+const test_case Documents("platform documents: configurations and server entries", [] {
+  if (auto When = section("given a valid configuration, its queues and limits are read")) {
+    auto Decoded = decodeConfiguration(R"({"version":7,"routes":[{"name":"r","host":"h","path_prefix":"/p/",
       "service":"s","priority":2,"max_attempts":3,"stretch":1.6,"target_latency_ms":60},
       {"name":"q","host":"h","path_prefix":"/p/x/","service":"s"}],"services":[],"limits":{"max_body_bytes":10}})");
-    CPPUNIT_ASSERT(Read.has_value());
-    CPPUNIT_ASSERT_EQUAL(std::string("r"), Read.value().find("h", "/p/0")->Name);
-    CPPUNIT_ASSERT_EQUAL(std::string("q"), Read.value().find("h", "/p/x/0")->Name);
-    CPPUNIT_ASSERT(Read.value().find("other", "/p/0") == nullptr);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{10}, Read.value().Limits.MaxBodyBytes);
+    CPPUNIT_ASSERT(Decoded.has_value());
+    CPPUNIT_ASSERT_EQUAL(std::string("r"), Decoded.value().find("h", "/p/0")->Name);
+    CPPUNIT_ASSERT_EQUAL(std::string("q"), Decoded.value().find("h", "/p/x/0")->Name);
+    CPPUNIT_ASSERT(Decoded.value().find("other", "/p/0") == nullptr);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{10}, Decoded.value().Limits.MaxBodyBytes);
   }
-  if (auto When = section("given one that cannot be read, none is in force")) {
+  if (auto When = section("given an invalid configuration, it is rejected")) {
     for (const char *Text :
          {"", "7", R"({"version":-1,"routes":[]})", R"({"version":1,"routes":[{"name":"r"}]})",
           R"({"version":"1","routes":[]})", R"({"routes":[]})"})
@@ -69,13 +72,13 @@
   }
   const std::string Server = R"({"service":"s","address":"10.0.0.1:1","zone":"a","slots":8,"state":"ready",
     "capacity":{"cpu":16000,"memory_limit_mb":100,"gpu":0},"labels":["a","r1-3"],"sequence":4})";
-  if (auto When = section("given a server's entry")) {
-    auto Read = decodeServer("i-1", Server);
-    CPPUNIT_ASSERT_EQUAL(std::string("r1-3"), Read.value().Rack);
-    CPPUNIT_ASSERT_EQUAL(16000U, Read.value().Capacity.cpu());
-    CPPUNIT_ASSERT(!Read.value().Draining);
+  if (auto When = section("given a valid server entry, its rack, capacity and state are read")) {
+    auto Decoded = decodeServer("i-1", Server);
+    CPPUNIT_ASSERT_EQUAL(std::string("r1-3"), Decoded.value().Rack);
+    CPPUNIT_ASSERT_EQUAL(16000U, Decoded.value().Capacity.cpu());
+    CPPUNIT_ASSERT(!Decoded.value().Draining);
   }
-  if (auto When = section("given an entry that names no usable server")) {
+  if (auto When = section("given an entry that describes no usable server, it is rejected")) {
     CPPUNIT_ASSERT(!decodeServer("i-1", without(Server, R"("zone":"a",)")));
     CPPUNIT_ASSERT(
         !decodeServer("i-1", R"({"service":"s","address":"x","zone":"a","state":"new","capacity":{}})"));
@@ -84,13 +87,13 @@
   }
 });
 
-// Guards against jobs that are run although they cannot be read.
-const test_case Jobs("platform jobs", [] {
-  auto Read = decodeJob(R"({"specification":"text","best_effort":true,
+// Guards against jobs that run although their document or id is malformed.
+const test_case Jobs("platform documents: jobs and their ids", [] {
+  auto Decoded = decodeJob(R"({"specification":"text","best_effort":true,
     "steps":[{"count":4,"cpu":500,"memory_limit_mb":256,"estimated_ms":900,"after":[0],"gang":true}]})");
-  CPPUNIT_ASSERT_EQUAL(4U, Read.value().Steps.at(0).TaskCount);
-  CPPUNIT_ASSERT(Read.value().Steps.at(0).Gang);
-  CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Read.value().Steps.at(0).Dependencies);
+  CPPUNIT_ASSERT_EQUAL(4U, Decoded.value().Steps.at(0).TaskCount);
+  CPPUNIT_ASSERT(Decoded.value().Steps.at(0).Gang);
+  CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Decoded.value().Steps.at(0).Dependencies);
   for (const char *Text : {"", "[]", "{}", R"({"steps":7})", R"({"steps":[7]})", R"({"steps":[{"cpu":1}]})",
                            R"({"steps":[{"count":-1}]})", R"({"steps":[{"count":1e300}]})",
                            R"({"steps":[{"count":1,"cpu":"much"}]})"})
@@ -101,8 +104,8 @@
     CPPUNIT_ASSERT(!parseJobId(Text));
 });
 
-// Guards against values of the store that lose their last bytes.
-const test_case Values("platform values in base64", [] {
+// Guards against values of the store that lose their last bytes, because the padding is counted wrongly.
+const test_case Values("platform store: base64 values are encoded and decoded", [] {
   for (const char *Text : {"", "a", "ab", "abc", "abcd"})
     CPPUNIT_ASSERT(decodeBase64(encodeBase64(Text)) == std::string(Text));
   CPPUNIT_ASSERT(decodeBase64("bm9kZS0x") == std::string("node-1"));
--- a/src/yuccaplank/platform/fuzz/decoders.cpp
+++ b/src/yuccaplank/platform/fuzz/decoders.cpp
@@ -9,21 +9,21 @@
 namespace yuccaplank::platform {
 namespace {
 
-bool keepsSettingsRules(std::string_view Text) {
+bool settingsInvariantsHold(std::string_view Text) {
   settings Settings;
   return !readSettings(Text, Settings).empty() || !Settings.Vm.empty() || Text.find("\"node\"") != Text.npos;
 }
 
-bool keepsServerRules(std::string_view Text) {
+bool serverInvariantsHold(std::string_view Text) {
   auto Server = decodeServer("i-1", Text);
   return !Server || (Server.value().Target.Id == "i-1" && !Server.value().Rack.empty());
 }
 
-bool keepsRunRules(const dispatch::run_key &Run) {
+bool runInvariantsHold(const dispatch::run_key &Run) {
   return Run.Run > 0 && parseTaskName(taskName(Run.Task)) == Run.Task;
 }
 
-bool keepsReplyRules(std::string_view Text) {
+bool replyInvariantsHold(std::string_view Text) {
   wire::http_call_result Reply;
   Reply.Body = Text;
   Reply.Status = 200;
@@ -32,12 +32,12 @@
       Hold.Outcome == dispatch::order_outcome::Accepted || (Hold.Running.empty() && Hold.Ended.empty());
   Reply.Status = 409;
   return Complete && decodeOrderReply(Reply).Outcome != dispatch::order_outcome::Accepted &&
-         std::ranges::all_of(Hold.Running, keepsRunRules) &&
+         std::ranges::all_of(Hold.Running, runInvariantsHold) &&
          std::ranges::all_of(Hold.Ended,
-                             [](const dispatch::listed_end &End) { return keepsRunRules(End.Run); });
+                             [](const dispatch::listed_end &End) { return runInvariantsHold(End.Run); });
 }
 
-bool keepsQueueRules(const dispatch::configuration &Configuration) {
+bool queueInvariantsHold(const dispatch::configuration &Configuration) {
   return std::ranges::all_of(Configuration.Queues, [&](const dispatch::queue_settings &Queue) {
     return Configuration.find(Queue.Host, Queue.PathPrefix) != nullptr;
   });
@@ -49,13 +49,14 @@
   std::string_view Text(reinterpret_cast<const char *>(Data), Size);
   auto Configuration = decodeConfiguration(Text);
   auto Job = decodeJob(Text);
-  bool Kept = keepsSettingsRules(Text) && keepsServerRules(Text) && keepsReplyRules(Text);
+  bool InvariantsHold =
+      settingsInvariantsHold(Text) && serverInvariantsHold(Text) && replyInvariantsHold(Text);
   if (Configuration)
-    Kept &= keepsQueueRules(Configuration.value());
+    InvariantsHold &= queueInvariantsHold(Configuration.value());
   if (Job)
-    Kept &= std::ranges::all_of(Job.value().Steps,
-                                [](const step_document &Step) { return Step.TaskSize.cpu() < ~0U; });
-  return Kept ? 0 : 1;
+    InvariantsHold &= std::ranges::all_of(
+        Job.value().Steps, [](const step_document &Step) { return Step.TaskSize.cpu() < ~0U; });
+  return InvariantsHold ? 0 : 1;
 }
 
 } // namespace yuccaplank::platform
--- a/src/yuccaplank/platform/fuzz/decoders_test.cpp
+++ b/src/yuccaplank/platform/fuzz/decoders_test.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-// Guards against documents and replies that crash the adapter, or that are accepted and say something else.
-const test_case Fuzz("fuzz: platform documents and replies",
+// Guards against documents and replies that crash the decoders, or that are accepted although the decoded
+// value violates an invariant.
+const test_case Fuzz("fuzz: decoders of platform documents and replies",
                      [] { testing::fuzzCorpus("platform", platform::fuzzDecoders); });
 
 } // namespace
--- a/src/yuccaplank/platform/json_reader.hpp
+++ b/src/yuccaplank/platform/json_reader.hpp
@@ -15,32 +15,32 @@
 
 using json = nlohmann::json;
 
-/// Parses a document; a discarded value when it is not JSON.
+/// Parses a document; returns a discarded value if it is not JSON.
 inline json parseJson(std::string_view Text) { return json::parse(Text, nullptr, false); }
 
-/// A field that is missing or has another type.
+/// A field that is missing, has the wrong type or is out of range.
 struct field_issue {
   runtime::errc Reason = runtime::errc::MissingField;
   std::string Path;
 };
 
-/// Reads fields of one object and collects what is wrong. Numbers must fit into their target.
+/// Reads fields of one object and collects the issues found. Integers must fit into the type of their target.
 class object_reader {
 public:
   object_reader(const json &Object, std::string Path, std::vector<field_issue> &Issues)
       : Object(Object), Path(std::move(Path)), Issues(Issues) {
     if (!Object.is_object())
-      add(runtime::errc::WrongType, "");
+      addIssue(runtime::errc::WrongType, "");
   }
 
-  /// Required fields.
+  /// Read required fields.
   void requiredText(const char *Name, std::string &Value) { read(Name, Value, true, &json::is_string); }
   void requiredNumber(const char *Name, double &Value) { read(Name, Value, true, &json::is_number); }
   template <typename Integer> void requiredInteger(const char *Name, Integer &Value) {
     readInteger(Name, Value, true);
   }
 
-  /// Fields that keep their default when absent.
+  /// Read optional fields; an absent or null field leaves Value unchanged.
   void optionalText(const char *Name, std::string &Value) { read(Name, Value, false, &json::is_string); }
   void optionalNumber(const char *Name, double &Value) { read(Name, Value, false, &json::is_number); }
   void optionalFlag(const char *Name, bool &Value) { read(Name, Value, false, &json::is_boolean); }
@@ -48,7 +48,8 @@
     readInteger(Name, Value, false);
   }
 
-  /// An object or list within; an empty one, with an issue when required, in place of anything else.
+  /// Returns the object or list in a field. A missing field or one of another type gives an empty value; an
+  /// issue is added if the type is wrong or a required field is missing.
   [[nodiscard]] const json &child(const char *Name, bool Required, bool IsList) {
     static const json EmptyObject = json::object();
     static const json EmptyList = json::array();
@@ -56,12 +57,12 @@
     const json *Found = find(Name);
     if (!Found) {
       if (Required)
-        add(runtime::errc::MissingField, Name);
+        addIssue(runtime::errc::MissingField, Name);
       return Empty;
     }
     if (IsList ? Found->is_array() : Found->is_object())
       return *Found;
-    add(runtime::errc::WrongType, Name);
+    addIssue(runtime::errc::WrongType, Name);
     return Empty;
   }
 
@@ -82,13 +83,13 @@
     const json *Found = find(Name);
     if (!Found) {
       if (Required)
-        add(runtime::errc::MissingField, Name);
+        addIssue(runtime::errc::MissingField, Name);
       return;
     }
     if ((Found->*HasType)())
       Target = Found->get<Value>();
     else
-      add(runtime::errc::WrongType, Name);
+      addIssue(runtime::errc::WrongType, Name);
   }
 
   template <typename Integer> void readInteger(const char *Name, Integer &Target, bool Required) {
@@ -96,22 +97,22 @@
     const json *Found = find(Name);
     if (!Found) {
       if (Required)
-        add(runtime::errc::MissingField, Name);
+        addIssue(runtime::errc::MissingField, Name);
       return;
     }
     if (!Found->is_number()) {
-      add(runtime::errc::WrongType, Name);
+      addIssue(runtime::errc::WrongType, Name);
       return;
     }
     Value = Found->get<double>();
     if (Value < 0 || Value > static_cast<double>(std::numeric_limits<Integer>::max())) {
-      add(runtime::errc::OutOfRange, Name);
+      addIssue(runtime::errc::OutOfRange, Name);
       return;
     }
     Target = Found->is_number_integer() ? Found->get<Integer>() : static_cast<Integer>(Value);
   }
 
-  void add(runtime::errc Reason, std::string_view Name) { Issues.push_back({Reason, pathOf(Name)}); }
+  void addIssue(runtime::errc Reason, std::string_view Name) { Issues.push_back({Reason, pathOf(Name)}); }
 
   const json &Object;
   std::string Path;
--- a/src/yuccaplank/platform/server_client.cpp
+++ b/src/yuccaplank/platform/server_client.cpp
@@ -20,7 +20,7 @@
   std::string_view Reason;
   order_outcome Outcome;
 };
-constexpr auto Reasons = std::to_array<reason_entry>({
+constexpr auto ConflictReasons = std::to_array<reason_entry>({
     {"fence", order_outcome::Fenced},
     {"old", order_outcome::Superseded},
     {"late", order_outcome::LeaseOver},
@@ -31,7 +31,7 @@
   std::string_view Name;
   run_end End;
 };
-constexpr auto Ends = std::to_array<end_entry>({
+constexpr auto RunEnds = std::to_array<end_entry>({
     {"done", run_end::Done},
     {"failed", run_end::Failed},
     {"stopped", run_end::Stopped},
@@ -42,7 +42,7 @@
 
 order_outcome outcomeOfConflict(const json &Body) {
   if (Body.is_object() && Body.contains("reason") && Body["reason"].is_string())
-    for (const reason_entry &Entry : Reasons)
+    for (const reason_entry &Entry : ConflictReasons)
       if (Entry.Reason == Body["reason"].get_ref<const std::string &>())
         return Entry.Outcome;
   return order_outcome::Malformed;
@@ -65,12 +65,13 @@
   case 400:
     return order_outcome::Malformed;
   default:
-    // Nothing is known of what such a reply means for the order.
+    // The reply does not tell whether the order was carried out.
     return order_outcome::NoAnswer;
   }
 }
 
-// Milliseconds; nothing for a number beyond the range in which the platform counts exactly.
+// Converts a number of milliseconds; returns nullopt beyond 2^53, the range of exact integers on the
+// platform.
 std::optional<std::int64_t> toInteger(const json &Number) {
   constexpr double MaxExact = 9007199254740992.0;
   double Value = Number.get<double>();
@@ -79,41 +80,41 @@
   return static_cast<std::int64_t>(Value);
 }
 
-// Runs are numbered from 1; nothing for a number that does not fit.
-std::optional<std::uint32_t> toRun(const json &Number) {
+// Runs are numbered from 1; returns nullopt for 0 and for a number that does not fit.
+std::optional<std::uint32_t> toRunNumber(const json &Number) {
   auto Value = Number.get<std::uint64_t>();
   if (Value == 0 || Value > std::numeric_limits<std::uint32_t>::max())
     return std::nullopt;
   return static_cast<std::uint32_t>(Value);
 }
 
-std::optional<std::int64_t> clockOf(const json &Body) {
+std::optional<std::int64_t> readClock(const json &Body) {
   if (!Body.is_object() || !Body.contains("clock_ms") || !Body["clock_ms"].is_number())
     return std::nullopt;
   return toInteger(Body["clock_ms"]);
 }
 
-// [task, run, saved, percent, …]
+// Reads a row of the form [task, run, saved, percent, …].
 std::optional<dispatch::run_key> readRunning(const json &Row) {
   if (!Row.is_array() || Row.size() < 2 || !Row[0].is_string() || !Row[1].is_number_unsigned())
     return std::nullopt;
   auto Task = parseTaskName(Row[0].get_ref<const std::string &>());
-  auto Run = toRun(Row[1]);
+  auto Run = toRunNumber(Row[1]);
   if (!Task || !Run)
     return std::nullopt;
   return dispatch::run_key{*Task, *Run};
 }
 
-// [number, task, run, how, saved]
+// Reads a row of the form [number, task, run, end, saved].
 std::optional<dispatch::listed_end> readEnd(const json &Row) {
   if (!Row.is_array() || Row.size() < 4 || !Row[0].is_number_unsigned() || !Row[1].is_string() ||
       !Row[2].is_number_unsigned() || !Row[3].is_string())
     return std::nullopt;
   auto Task = parseTaskName(Row[1].get_ref<const std::string &>());
-  auto Run = toRun(Row[2]);
+  auto Run = toRunNumber(Row[2]);
   if (!Task || !Run)
     return std::nullopt;
-  for (const end_entry &Entry : Ends)
+  for (const end_entry &Entry : RunEnds)
     if (Entry.Name == Row[3].get_ref<const std::string &>())
       return dispatch::listed_end{Row[0].get<std::uint64_t>(), {*Task, *Run}, Entry.End};
   return std::nullopt;
@@ -146,13 +147,13 @@
               {"specification", Order.Specification},
               {"deadline_ms", Order.LeaseEndMs},
               {"fencing_token", Order.FencingToken}};
-    callForOrder(Server, "/yuccaplank/run-start", Body, std::move(OnDone));
+    sendOrder(Server, "/yuccaplank/run-start", Body, std::move(OnDone));
   }
 
   void stop(const dispatch::server_target &Server, const dispatch::run_key &Run, std::uint64_t FencingToken,
             std::function<void(order_reply)> OnDone) override {
     json Body{{"task", taskName(Run.Task)}, {"run", Run.Run}, {"fencing_token", FencingToken}};
-    callForOrder(Server, "/yuccaplank/run-stop", Body, std::move(OnDone));
+    sendOrder(Server, "/yuccaplank/run-stop", Body, std::move(OnDone));
   }
 
   void hold(const dispatch::server_target &Server, const dispatch::hold_order &Order,
@@ -169,8 +170,8 @@
   }
 
 private:
-  void callForOrder(const dispatch::server_target &Server, const char *Path, const json &Body,
-                    std::function<void(order_reply)> OnDone) {
+  void sendOrder(const dispatch::server_target &Server, const char *Path, const json &Body,
+                 std::function<void(order_reply)> OnDone) {
     Client.call(makeCall(Server, Path, Body, {}),
                 [OnDone = std::move(OnDone)](const wire::http_call_result &Result) {
                   OnDone(decodeOrderReply(Result));
@@ -197,19 +198,19 @@
 
 order_reply decodeOrderReply(const wire::http_call_result &Result) {
   json Body = parseJson(Result.Body);
-  return {outcomeOf(Result, Body), clockOf(Body)};
+  return {outcomeOf(Result, Body), readClock(Body)};
 }
 
 hold_reply decodeHoldReply(const wire::http_call_result &Result) {
   json Body = parseJson(Result.Body);
   hold_reply Reply;
   Reply.Outcome = outcomeOf(Result, Body);
-  Reply.ClockMs = clockOf(Body);
+  Reply.ClockMs = readClock(Body);
   if (Reply.Outcome != order_outcome::Accepted)
     return Reply;
   bool Complete = Body.is_object() && readRows(Body, "running_tasks", &readRunning, Reply.Running) &&
                   readRows(Body, "finished", &readEnd, Reply.Ended);
-  // A list that cannot be read must not pass for an empty one.
+  // An unreadable list must not be taken for an empty one: its runs would count as ended.
   if (!Complete)
     return {};
   if (Body.contains("born") && Body["born"].is_number())
--- a/src/yuccaplank/platform/server_client_test.cpp
+++ b/src/yuccaplank/platform/server_client_test.cpp
@@ -37,8 +37,9 @@
     {500, "", order_outcome::NoAnswer},
 });
 
-// Guards against an order that may have been carried out and is taken for one that was not.
-const test_case Orders("platform servers: replies to orders", [] {
+// Guards against an order that may have been carried out but is treated as if it had not been: its task could
+// then run twice.
+const test_case Orders("server client: replies to orders give the right outcome", [] {
   for (const expected_outcome &Expected : Outcomes)
     CPPUNIT_ASSERT(decodeOrderReply(reply(Expected.Status, Expected.Body)).Outcome == Expected.Outcome);
   CPPUNIT_ASSERT(decodeOrderReply(reply(200, R"({"clock_ms":5})")).ClockMs == 5);
@@ -50,16 +51,16 @@
   CPPUNIT_ASSERT(decodeOrderReply(Failed).Outcome == order_outcome::NotSent);
 });
 
-// Guards against a list that cannot be read and is taken for an empty one, after which its runs would count
-// as gone.
-const test_case Lists("platform servers: lists of runs", [] {
-  auto Read = decodeHoldReply(reply(200, R"({"clock_ms":482113,"born":17,
+// Guards against an unreadable list of runs that is taken for an empty one, after which its runs would count
+// as ended.
+const test_case Lists("server client: lists of runs are read completely or rejected", [] {
+  auto Reply = decodeHoldReply(reply(200, R"({"clock_ms":482113,"born":17,
     "running_tasks":[["5c0e7a21d94b36f8.0.0.17",2,"",41,5]],"finished":[[58,"5c0e7a21d94b36f8.0.0.9",1,"lapsed",""]]})"));
-  CPPUNIT_ASSERT(Read.Outcome == order_outcome::Accepted);
-  CPPUNIT_ASSERT_EQUAL(std::int64_t{17}, Read.IncarnationStartMs);
-  CPPUNIT_ASSERT((Read.Running.at(0) == dispatch::run_key{{0x5c0e7a21d94b36f8, 17}, 2}));
-  CPPUNIT_ASSERT_EQUAL(std::uint64_t{58}, Read.Ended.at(0).Number);
-  CPPUNIT_ASSERT(Read.Ended.at(0).End == dispatch::run_end::Lapsed);
+  CPPUNIT_ASSERT(Reply.Outcome == order_outcome::Accepted);
+  CPPUNIT_ASSERT_EQUAL(std::int64_t{17}, Reply.IncarnationStartMs);
+  CPPUNIT_ASSERT((Reply.Running.at(0) == dispatch::run_key{{0x5c0e7a21d94b36f8, 17}, 2}));
+  CPPUNIT_ASSERT_EQUAL(std::uint64_t{58}, Reply.Ended.at(0).Number);
+  CPPUNIT_ASSERT(Reply.Ended.at(0).End == dispatch::run_end::Lapsed);
   for (const char *Body : {"", "{}", R"({"running_tasks":[]})", R"({"running_tasks":{},"finished":[]})",
                            R"({"running_tasks":[["x",1]],"finished":[]})",
                            R"({"running_tasks":[],"finished":[[1,"5c0e7a21d94b36f8.0.0.9",1,"other",""]]})",
@@ -67,8 +68,8 @@
     CPPUNIT_ASSERT(decodeHoldReply(reply(200, Body)).Outcome == order_outcome::NoAnswer);
 });
 
-// Guards against ends of one task that are taken for another's.
-const test_case Names("platform servers: names of tasks", [] {
+// Guards against the end of one task being attributed to another, because a name is parsed loosely.
+const test_case Names("server client: names of tasks are formatted and parsed", [] {
   dispatch::task_key Task{0xc0e7a21d94b36f8, 17};
   CPPUNIT_ASSERT_EQUAL(std::string("0c0e7a21d94b36f8.0.0.17"), taskName(Task));
   CPPUNIT_ASSERT(parseTaskName(taskName(Task)) == Task);
--- a/src/yuccaplank/platform/settings.cpp
+++ b/src/yuccaplank/platform/settings.cpp
@@ -4,7 +4,7 @@
 namespace yuccaplank::platform {
 namespace {
 
-constexpr const char *ServedOrderForm = "request";
+constexpr const char *SupportedOrderForm = "request";
 
 void readListeners(object_reader &Reader, settings &Settings, std::vector<field_issue> &Issues) {
   object_reader Listeners(Reader.child("listen_addresses", true, false), "listen_addresses", Issues);
@@ -43,12 +43,12 @@
   object_reader Bounds(Reader.child("bounds", false, false), "bounds", Issues);
   Bounds.optionalNumber("grace_period_s", Settings.GracePeriodS);
   Bounds.optionalInteger("max_hold_ms", Settings.MaxLeaseMs);
-  Bounds.optionalInteger("retransmit_ms", Settings.ResendMs);
-  Bounds.optionalInteger("stop_timeout_ms", Settings.StopTimeMs);
-  // Servers that fetch their orders with their heartbeats are not served.
-  std::string OrderForm = ServedOrderForm;
+  Bounds.optionalInteger("retransmit_ms", Settings.ResendDelayMs);
+  Bounds.optionalInteger("stop_timeout_ms", Settings.StopTimeoutMs);
+  // Platforms whose servers fetch their orders with their heartbeats are not supported.
+  std::string OrderForm = SupportedOrderForm;
   Reader.optionalText("orders", OrderForm);
-  if (OrderForm != ServedOrderForm)
+  if (OrderForm != SupportedOrderForm)
     Issues.push_back({runtime::errc::OutOfRange, "orders"});
   std::vector<settings_issue> Result;
   Result.reserve(Issues.size());
--- a/src/yuccaplank/platform/store_client.cpp
+++ b/src/yuccaplank/platform/store_client.cpp
@@ -11,7 +11,7 @@
 using runtime::errc;
 using runtime::result;
 
-std::error_code errorOf(const wire::http_call_result &Result) {
+std::error_code toError(const wire::http_call_result &Result) {
   if (Result.Error)
     return errc::PlatformUnavailable;
   switch (Result.Status) {
@@ -26,7 +26,8 @@
   }
 }
 
-// A value that cannot be decoded is kept as an empty one: it names nothing, and the other rows hold.
+// A value that cannot be decoded is replaced by an empty one, which describes nothing, so that the other rows
+// of the page remain usable.
 store_row readRow(const json &Value, std::vector<field_issue> &Issues) {
   store_row Row;
   std::string Encoded;
@@ -40,7 +41,7 @@
 }
 
 result<store_page> readPage(const wire::http_call_result &Result) {
-  if (auto Error = errorOf(Result))
+  if (auto Error = toError(Result))
     return Error;
   json Body = parseJson(Result.Body);
   std::vector<field_issue> Issues;
@@ -56,7 +57,7 @@
 }
 
 result<std::uint64_t> readVersion(const wire::http_call_result &Result) {
-  if (auto Error = errorOf(Result))
+  if (auto Error = toError(Result))
     return Error;
   json Body = parseJson(Result.Body);
   std::vector<field_issue> Issues;
@@ -80,19 +81,19 @@
     call("GET", Path, "", {}, [OnDone = std::move(OnDone)](const auto &Result) { OnDone(readPage(Result)); });
   }
 
-  void changes(const std::string &Table, std::uint64_t After, runtime::duration Wait,
+  void changes(const std::string &Table, std::uint64_t After, runtime::duration LongPollTimeout,
                std::function<void(result<store_page>)> OnDone) override {
-    auto WaitMs = std::chrono::duration_cast<std::chrono::milliseconds>(Wait).count();
+    auto WaitMs = std::chrono::duration_cast<std::chrono::milliseconds>(LongPollTimeout).count();
     std::string Path = fmt::format("/yuccaplank/rows-feed?table={}&after={}&wait_ms={}",
                                    wire::percentEncode(Table), After, WaitMs);
-    call("GET", Path, "", Wait,
+    call("GET", Path, "", LongPollTimeout,
          [OnDone = std::move(OnDone)](const auto &Result) { OnDone(readPage(Result)); });
   }
 
   void put(const std::string &Table, const std::string &Key, const std::string &Value,
            std::function<void(result<std::uint64_t>)> OnDone) override {
     json Row{{"table", Table}, {"part", ""}, {"key", Key}, {"value", encodeBase64(Value)}};
-    transact(json::array(), json::array({Row}), json::array(), std::move(OnDone));
+    sendTransaction(json::array(), json::array({Row}), json::array(), std::move(OnDone));
   }
 
   void remove(const std::string &Table, const std::string &Key, std::uint64_t Version,
@@ -100,18 +101,18 @@
     json Row{{"table", Table}, {"part", ""}, {"key", Key}};
     json Expected = Row;
     Expected["version_number"] = Version;
-    transact(json::array({Expected}), json::array(), json::array({Row}), std::move(OnDone));
+    sendTransaction(json::array({Expected}), json::array(), json::array({Row}), std::move(OnDone));
   }
 
 private:
-  void transact(const json &Expected, const json &Puts, const json &Removed,
-                std::function<void(result<std::uint64_t>)> OnDone) {
+  void sendTransaction(const json &Expected, const json &Puts, const json &Removed,
+                       std::function<void(result<std::uint64_t>)> OnDone) {
     json Body{{"expected_revision", Expected}, {"puts", Puts}, {"remove", Removed}};
     call("POST", "/yuccaplank/rows-tx", Body.dump(), {},
          [OnDone = std::move(OnDone)](const auto &Result) { OnDone(readVersion(Result)); });
   }
 
-  void call(const char *Method, std::string Path, std::string Body, runtime::duration Wait,
+  void call(const char *Method, std::string Path, std::string Body, runtime::duration LongPollTimeout,
             std::function<void(const wire::http_call_result &)> OnDone) {
     wire::http_call Call;
     Call.Method = Method;
@@ -119,7 +120,7 @@
     Call.Path = std::move(Path);
     Call.Headers = {{"content-type", "application/json"}};
     Call.Body = std::move(Body);
-    Call.Timeout = Wait + Options.ReplyTimeout;
+    Call.Timeout = LongPollTimeout + Options.ReplyTimeout;
     Client.call(std::move(Call), std::move(OnDone));
   }
 
