--- a/src/yuccaplank/platform/documents_test.cpp
+++ b/src/yuccaplank/platform/documents_test.cpp
@@ -25,31 +25,30 @@
 
 // Guards against a process that starts with incomplete settings, and against one that rejects a field added
 // by a newer platform.
-const test_case
-    SettingsFile("platform settings: a settings file is read completely or its faults are returned", [] {
-      settings Decoded;
-      if (auto When = section("given all fields and an unknown one, there is no issue")) {
-        CPPUNIT_ASSERT(readSettings(Settings, Decoded).empty());
-        CPPUNIT_ASSERT_EQUAL(std::string("10.1.0.13:3"), Decoded.PeerAddress);
-        CPPUNIT_ASSERT_EQUAL(std::string("10.9.0.1:4"), Decoded.StoreAddress);
-        CPPUNIT_ASSERT_EQUAL(0.25, Decoded.CpuShare);
-      }
-      if (auto When = section("given a missing field, the issue names it")) {
-        auto Issues = readSettings(without(Settings, R"("ready":"10.1.0.13:2",)"), Decoded);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Issues.size());
-        CPPUNIT_ASSERT_EQUAL(std::string("listen_addresses.ready"), Issues.at(0).Path);
-        CPPUNIT_ASSERT(Issues.at(0).Reason == runtime::errc::MissingField);
-      }
-      if (auto When = section("given a field of the wrong type, the issue names it")) {
-        auto Issues = readSettings(R"({"node":7})", Decoded);
-        CPPUNIT_ASSERT_EQUAL(std::string("node"), Issues.at(0).Path);
-        CPPUNIT_ASSERT(Issues.at(0).Reason == runtime::errc::WrongType);
-      }
-      if (auto When = section("given a text that is not a JSON object, the document is malformed")) {
-        for (const char *Text : {"", "[]", "{", "null"})
-          CPPUNIT_ASSERT(readSettings(Text, Decoded).at(0).Reason == runtime::errc::MalformedDocument);
-      }
-    });
+const test_case SettingsFile("platform settings: valid files are read, faults are named", [] {
+  settings Decoded;
+  if (auto When = section("given all fields and an unknown one, there is no issue")) {
+    CPPUNIT_ASSERT(readSettings(Settings, Decoded).empty());
+    CPPUNIT_ASSERT_EQUAL(std::string("10.1.0.13:3"), Decoded.PeerAddress);
+    CPPUNIT_ASSERT_EQUAL(std::string("10.9.0.1:4"), Decoded.StoreAddress);
+    CPPUNIT_ASSERT_EQUAL(0.25, Decoded.CpuShare);
+  }
+  if (auto When = section("given a missing field, the issue names it")) {
+    auto Issues = readSettings(without(Settings, R"("ready":"10.1.0.13:2",)"), Decoded);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Issues.size());
+    CPPUNIT_ASSERT_EQUAL(std::string("listen_addresses.ready"), Issues.at(0).Path);
+    CPPUNIT_ASSERT(Issues.at(0).Reason == runtime::errc::MissingField);
+  }
+  if (auto When = section("given a field of the wrong type, the issue names it")) {
+    auto Issues = readSettings(R"({"node":7})", Decoded);
+    CPPUNIT_ASSERT_EQUAL(std::string("node"), Issues.at(0).Path);
+    CPPUNIT_ASSERT(Issues.at(0).Reason == runtime::errc::WrongType);
+  }
+  if (auto When = section("given a text that is not a JSON object, the document is malformed")) {
+    for (const char *Text : {"", "[]", "{", "null"})
+      CPPUNIT_ASSERT(readSettings(Text, Decoded).at(0).Reason == runtime::errc::MalformedDocument);
+  }
+});
 
 // Guards against an invalid configuration or server entry that is accepted, and against fields of a valid one
 // that are lost.
@@ -59,9 +58,9 @@
       "service":"s","priority":2,"max_attempts":3,"stretch":1.6,"target_latency_ms":60},
       {"name":"q","host":"h","path_prefix":"/p/x/","service":"s"}],"services":[],"limits":{"max_body_bytes":10}})");
     CPPUNIT_ASSERT(Decoded.has_value());
-    CPPUNIT_ASSERT_EQUAL(std::string("r"), Decoded.value().find("h", "/p/0")->Name);
-    CPPUNIT_ASSERT_EQUAL(std::string("q"), Decoded.value().find("h", "/p/x/0")->Name);
-    CPPUNIT_ASSERT(Decoded.value().find("other", "/p/0") == nullptr);
+    CPPUNIT_ASSERT_EQUAL(std::string("r"), Decoded.value().findQueue("h", "/p/0")->Name);
+    CPPUNIT_ASSERT_EQUAL(std::string("q"), Decoded.value().findQueue("h", "/p/x/0")->Name);
+    CPPUNIT_ASSERT(Decoded.value().findQueue("other", "/p/0") == nullptr);
     CPPUNIT_ASSERT_EQUAL(std::size_t{10}, Decoded.value().Limits.MaxBodyBytes);
   }
   if (auto When = section("given an invalid configuration, it is rejected")) {
--- a/src/yuccaplank/platform/fuzz/decoders.cpp
+++ b/src/yuccaplank/platform/fuzz/decoders.cpp
@@ -39,7 +39,7 @@
 
 bool queueInvariantsHold(const dispatch::configuration &Configuration) {
   return std::ranges::all_of(Configuration.Queues, [&](const dispatch::queue_settings &Queue) {
-    return Configuration.find(Queue.Host, Queue.PathPrefix) != nullptr;
+    return Configuration.findQueue(Queue.Host, Queue.PathPrefix) != nullptr;
   });
 }
 
