--- a/src/yuccaplank/entry/vm_process.cpp
+++ b/src/yuccaplank/entry/vm_process.cpp
@@ -132,8 +132,8 @@
     applyOwnSettings(Options.OwnSettings, Result);
     dispatch::platform_bounds Bounds;
     Bounds.MaxLease = std::chrono::milliseconds(Settings.MaxLeaseMs);
-    Bounds.Resend = std::chrono::milliseconds(Settings.ResendDelayMs);
-    Bounds.StopTime = std::chrono::milliseconds(Settings.StopTimeoutMs);
+    Bounds.ResendDelay = std::chrono::milliseconds(Settings.ResendDelayMs);
+    Bounds.MaxStopDelay = std::chrono::milliseconds(Settings.StopTimeoutMs);
     if (!dispatch::applyBounds(Bounds, Result)) {
       log(log_level::Error, "bounds_too_short",
           {{"max_lease_ms", std::int64_t{Settings.MaxLeaseMs}},
