--- a/src/yuccaplank/load/load_run.cpp
+++ b/src/yuccaplank/load/load_run.cpp
@@ -27,7 +27,7 @@
 constexpr double GiveUpDelayMs = 4000;
 constexpr double Stretch = 1.6;
 constexpr double ObjectiveMs = 60;
-constexpr double ThousandthsOfCore = 1000;
+constexpr double ThousandthsPerCore = 1000;
 constexpr auto CheckTimeout = std::chrono::seconds(30);
 constexpr std::size_t MaxConcurrentChecks = 16;
 constexpr int ViolationStatus = 3;
@@ -98,7 +98,7 @@
     Job.Id = Id;
     Job.TaskCount = Options.MinTasks +
                     static_cast<std::uint32_t>(Random.next() % (Options.MaxTasks - Options.MinTasks + 1));
-    Job.TaskSize.set_cpu(static_cast<std::uint32_t>(Options.Cores * ThousandthsOfCore));
+    Job.TaskSize.set_cpu(static_cast<std::uint32_t>(Options.Cores * ThousandthsPerCore));
     Job.TaskSize.set_memory_mb(64);
     Job.EstimateMs = static_cast<std::uint32_t>(Offered.WorkMs * logNormal(Options.DeclaredSpread)) + 1;
     Job.Specification = standin::encodeWork({Job.TaskSize.cpu(), fromMs(Offered.WorkMs), false});
--- a/src/yuccaplank/scenario/world.cpp
+++ b/src/yuccaplank/scenario/world.cpp
@@ -9,7 +9,7 @@
 
 using simulation::simulated_vm;
 
-constexpr double MillicoresPerCore = 1000;
+constexpr double ThousandthsPerCore = 1000;
 // Time in which all VMs discover each other and claim their servers.
 constexpr auto StartupDuration = std::chrono::seconds(2);
 
@@ -76,7 +76,7 @@
   dispatch::job_request &Request = Record.Request;
   Request.Job = Record.Job;
   Request.TaskCount = Spec.Tasks;
-  Request.TaskSize.set_cpu(static_cast<std::uint32_t>(Spec.Cores * MillicoresPerCore));
+  Request.TaskSize.set_cpu(static_cast<std::uint32_t>(Spec.Cores * ThousandthsPerCore));
   Request.TaskSize.set_memory_mb(64);
   Request.EstimateMs = static_cast<std::uint32_t>(Spec.DeclaredMs > 0 ? Spec.DeclaredMs : Spec.TaskMs);
   Request.Specification = standin::encodeWork({Request.TaskSize.cpu(), runtime::fromMs(Spec.TaskMs), false});
--- a/src/yuccaplank/standin/worker.cpp
+++ b/src/yuccaplank/standin/worker.cpp
@@ -161,7 +161,7 @@
   }
 
 private:
-  struct waiting_hold {
+  struct pending_hold {
     wire::request_token Token = 0;
     dispatch::hold_order Order;
     time_point Until;
@@ -256,9 +256,9 @@
   }
 
   void answerHolds() {
-    std::vector<waiting_hold> Waiting;
+    std::vector<pending_hold> Waiting;
     Waiting.swap(Holds);
-    for (waiting_hold &Hold : Waiting) {
+    for (pending_hold &Hold : Waiting) {
       // The lease was extended when the order arrived.
       Hold.Order.LeaseEndMs.reset();
       auto Reply = TaskServer->hold(now(), Hold.Order);
@@ -319,7 +319,7 @@
   worker_faults Faults;
   std::unique_ptr<task_server> TaskServer;
   std::unique_ptr<wire::http_server> Server;
-  std::vector<waiting_hold> Holds;
+  std::vector<pending_hold> Holds;
   // Lifetime of the current incarnation, ended by a crash.
   runtime::lifetime Incarnation;
   runtime::timer_id EventTimer = 0;
